--- a/fakes/platform-cache.c
+++ b/fakes/platform-cache.c
@@ -48,7 +48,8 @@
 server_cache_run(platform_server_t *server, struct evhttp_request *req)
 {
     const char *salt = header_of(req, wire_header_name(HEADER_CACHE_SALT));
-    const char *prompt = header_of(req, wire_header_name(HEADER_PROMPT));
+    const char *prompt =
+        header_of(req, wire_header_name(HEADER_PROMPT_PREFIX));
     char copy[1024];
     char *rest = copy;
     char *word;
--- a/fakes/platform-server.c
+++ b/fakes/platform-server.c
@@ -61,7 +61,7 @@
 record_run(platform_server_t *server, struct evhttp_request *req)
 {
     static const wire_header_t shown[] = {
-        HEADER_REQUEST_ID,     HEADER_WORKSPACE,  HEADER_KEY,
+        HEADER_REQUEST_ID,     HEADER_WORKSPACE,  HEADER_ACCESS_KEY,
         HEADER_LAST_EVENT,     HEADER_CACHE_SALT, HEADER_CACHE_FETCH,
         HEADER_EXPECT_VERSION, HEADER_PRIORITY,   HEADER_CACHE_PIN};
     struct evbuffer *body = evhttp_request_get_input_buffer(req);
@@ -100,7 +100,7 @@
 static void
 refuse(platform_server_t *server, struct evhttp_request *req, int status)
 {
-    add_header(req, HEADER_NOT_RUN, "1");
+    add_header(req, HEADER_NOT_EXECUTED, "1");
     add_header(req, HEADER_SERVER_ID, server->id);
     evhttp_send_reply(req, status, NULL, NULL);
 }
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -34,7 +34,7 @@
 
 typedef struct follow {
     CK_LIST_ENTRY(follow) entry;
-    cache_follows_t *follows;
+    cache_follower_t *follows;
     char holder[CS_NAME_MAX]; /* a server's id or a kv store's name */
     char addr[CS_ADDR_MAX];
     cached_parts_t
@@ -47,7 +47,7 @@
     unsigned seen; /* count of the sharing that it was last in */
 } follow_t;
 
-struct cache_follows {
+struct cache_follower {
     relay_t *relay;
     CK_LIST_HEAD(follow_list, follow) list;
     unsigned shares;
@@ -75,7 +75,7 @@
 
 /* A request here or at another daemon asks for a part. */
 void
-cache_follows_asked(cache_follows_t *follows, uint64_t key)
+cache_follower_part_requested(cache_follower_t *follows, uint64_t key)
 {
     const follow_t *follow;
     if (follows == NULL) {
@@ -161,7 +161,7 @@
 }
 
 static follow_t *
-follow_find(cache_follows_t *follows, const char *holder)
+follow_find(cache_follower_t *follows, const char *holder)
 {
     follow_t *follow;
     CK_LIST_FOREACH (follow, &follows->list, entry) {
@@ -174,7 +174,7 @@
 
 /* Follow a holder if that falls to this daemon. */
 static void
-share_holder(cache_follows_t *follows, const char *holder, const char *addr)
+share_holder(cache_follower_t *follows, const char *holder, const char *addr)
 {
     if (!peers_duty(follows->relay->peers, holder)) {
         return;
@@ -196,7 +196,7 @@
 }
 
 static void
-share_all(cache_follows_t *follows)
+share_all(cache_follower_t *follows)
 {
     const relay_t *relay = follows->relay;
     const server_t *server;
@@ -221,10 +221,10 @@
     }
 }
 
-cache_follows_t *
-cache_follows_new(relay_t *relay)
+cache_follower_t *
+cache_follower_new(relay_t *relay)
 {
-    cache_follows_t *follows = mem_zalloc(sizeof(*follows));
+    cache_follower_t *follows = mem_zalloc(sizeof(*follows));
     follows->relay = relay;
     follows->share_ms = time_mono_ms() + KNOWN_MS;
     CK_LIST_INIT(&follows->list);
@@ -233,7 +233,7 @@
 
 /* Caches that this daemon follows. */
 size_t
-cache_follows_count(const cache_follows_t *follows)
+cache_follower_cache_count(const cache_follower_t *follows)
 {
     const follow_t *follow;
     size_t count = 0;
@@ -245,7 +245,7 @@
 
 /* One step. */
 void
-cache_follows_tick(cache_follows_t *follows)
+cache_follower_tick(cache_follower_t *follows)
 {
     int64_t now = time_mono_ms();
     follow_t *follow;
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -36,7 +36,7 @@
 static const relay_service_t *
 store_service(const relay_t *relay, uint16_t number)
 {
-    const kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER];
+    const kv_store_t *store = &relay->kv_stores.all[number - KV_STORE_NUMBER];
     return relay->config != NULL && store->held != NULL
                ? relay_config_service(relay->config, store->name)
                : NULL;
@@ -48,7 +48,7 @@
 cache_store_for(const relay_t *relay, const prefix_t *prefix, uint16_t *number)
 {
     unsigned shared = shared_levels(prefix);
-    int at = shared > 0 ? kv_stores_for(&relay->stores,
+    int at = shared > 0 ? kv_stores_for(&relay->kv_stores,
                                         prefix->levels[shared - 1].key)
                         : -1;
     if (at < 0) {
@@ -118,7 +118,7 @@
 held_by(const relay_t *relay, uint16_t number)
 {
     if (number >= KV_STORE_NUMBER) {
-        return relay->stores.all[number - KV_STORE_NUMBER].held;
+        return relay->kv_stores.all[number - KV_STORE_NUMBER].held;
     }
     const server_t *server = servers_numbered(relay->servers, number);
     return server != NULL ? server->held : NULL;
@@ -165,8 +165,8 @@
     uint16_t numbers[SOURCES_MAX];
     uint16_t best = 0;
     bool found = false;
-    size_t count =
-        cache_map_holders(relay->cache, level->key, 0, numbers, SOURCES_MAX);
+    size_t count = cache_map_holders(relay->cache_map, level->key, 0, numbers,
+                                     SOURCES_MAX);
     for (size_t i = 0; i < count; i++) {
         cache_source_t source = {.tokens = level->tokens};
         if (holds(relay, numbers[i], prefix, from, last) &&
@@ -202,7 +202,7 @@
         coming.levels[i] = prefix->levels[i];
         coming.levels[i].key = pending_key(prefix->levels[i].key);
     }
-    return cache_map_cached_since(relay->cache, &coming, server->number,
+    return cache_map_cached_since(relay->cache_map, &coming, server->number,
                                   now - PENDING_MS);
 }
 
@@ -266,7 +266,7 @@
 holder_name(const relay_t *relay, uint16_t number)
 {
     if (number >= KV_STORE_NUMBER) {
-        return relay->stores.all[number - KV_STORE_NUMBER].name;
+        return relay->kv_stores.all[number - KV_STORE_NUMBER].name;
     }
     const server_t *server = servers_numbered(relay->servers, number);
     return server != NULL ? server->info.id : "";
@@ -292,7 +292,7 @@
     for (unsigned i = shared_levels(prefix); i > 0 && held != NULL; i--) {
         const cached_part_t part = part_of(prefix, i - 1);
         cached_parts_use(held, &part);
-        if (cache_map_note_at(relay->cache, number, part.key,
+        if (cache_map_note_at(relay->cache_map, number, part.key,
                               part.prompt_tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
                                true);
@@ -305,7 +305,7 @@
 holder_number(const relay_t *relay, const char *holder)
 {
     const server_t *server = servers_find(relay->servers, holder);
-    int store = kv_stores_named(&relay->stores, holder);
+    int store = kv_stores_named(&relay->kv_stores, holder);
     if (holder[0] == '\0' || (server == NULL && store < 0)) {
         return -1;
     }
@@ -324,7 +324,7 @@
         return;
     }
     cached_parts_use(held, part);
-    (void)cache_map_note_at(relay->cache, (uint16_t)number, part->key,
+    (void)cache_map_note_at(relay->cache_map, (uint16_t)number, part->key,
                             part->prompt_tokens, time_mono_ms());
     relay->meter.cache_appeared++;
     relay->notify_part(relay->peers, holder, part, true);
@@ -341,7 +341,7 @@
         return false;
     }
     cached_parts_drop(held, key);
-    (void)cache_map_drop(relay->cache, (uint16_t)number, key);
+    (void)cache_map_drop(relay->cache_map, (uint16_t)number, key);
     return true;
 }
 
@@ -350,20 +350,21 @@
 cache_apply(relay_t *relay, const char *holder, const cached_part_t *part)
 {
     server_t *server = servers_find(relay->servers, holder);
-    int store = kv_stores_named(&relay->stores, holder);
+    int store = kv_stores_named(&relay->kv_stores, holder);
     if (holder[0] == '\0' || (server == NULL && store < 0)) {
         return;
     }
     uint16_t number =
         server != NULL ? server->number : (uint16_t)(KV_STORE_NUMBER + store);
     int64_t now = time_mono_ms();
-    (void)cache_map_note_at(relay->cache, number, part->key,
+    (void)cache_map_note_at(relay->cache_map, number, part->key,
                             part->prompt_tokens, now);
     if (part->tokens == 0) {
-        cache_follows_asked(relay->cache_follows, pending_key(part->key));
+        cache_follower_part_requested(relay->cache_follower,
+                                      pending_key(part->key));
         return; /* it is only being read */
     }
-    cache_follows_asked(relay->cache_follows, part->key);
+    cache_follower_part_requested(relay->cache_follower, part->key);
     cached_parts_use(held_by(relay, number), part);
     if (server != NULL) {
         server_confirm_alive(server, now);
@@ -374,7 +375,7 @@
 void
 cache_forget(relay_t *relay, const server_t *server)
 {
-    cache_map_forget(relay->cache, server->number);
+    cache_map_forget(relay->cache_map, server->number);
     cached_parts_forget(server->held);
 }
 
@@ -395,7 +396,7 @@
 cache_rooms(relay_t *relay)
 {
     server_t *server;
-    kv_stores_sync(&relay->stores, relay->config);
+    kv_stores_sync(&relay->kv_stores, relay->config);
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         cache_room(relay, server);
     }
@@ -412,9 +413,9 @@
         const prefix_level_t *level = &prefix->levels[i];
         const cached_part_t part = {.key = pending_key(level->key),
                                     .prompt_tokens = level->tokens};
-        cache_follows_asked(relay->cache_follows, level->key);
-        if (cache_map_note_at(relay->cache, number, part.key, level->tokens,
-                              now)) {
+        cache_follower_part_requested(relay->cache_follower, level->key);
+        if (cache_map_note_at(relay->cache_map, number, part.key,
+                              level->tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
                                true);
         }
@@ -435,7 +436,7 @@
 cache_save(relay_t *relay, const prefix_t *prefix, const server_t *server,
            uint16_t number)
 {
-    kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER];
+    kv_store_t *store = &relay->kv_stores.all[number - KV_STORE_NUMBER];
     const relay_service_t *to = store_service(relay, number);
     const relay_service_t *from = service_of(relay, server);
     unsigned shared = shared_levels(prefix);
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -39,7 +39,7 @@
 {
     relay_t *relay = arg;
     err_t err = {0};
-    object_cache_put(relay->objects, KIND_CONFIG, object);
+    object_cache_put(relay->object_cache, KIND_CONFIG, object);
     if (strcmp(object->name, "main") != 0 || object->removed ||
         (relay->config != NULL &&
          object->revision <= relay->config->revision)) {
@@ -70,21 +70,21 @@
 on_config_list(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_list(relay->objects, KIND_CONFIG);
+    object_cache_list(relay->object_cache, KIND_CONFIG);
 }
 
 static void
 on_config_listed(void *arg, int64_t at)
 {
     relay_t *relay = arg;
-    object_cache_listed(relay->objects, KIND_CONFIG, at);
+    object_cache_listed(relay->object_cache, KIND_CONFIG, at);
 }
 
 static void
 on_config_settled(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_notify(relay->objects, KIND_CONFIG);
+    object_cache_notify(relay->object_cache, KIND_CONFIG);
 }
 
 /* A daemon to ask while the store does not answer. */
@@ -100,7 +100,7 @@
 upstream_daemon(void *arg, char addr[CS_ADDR_MAX])
 {
     relay_t *relay = arg;
-    return relay->peers != NULL && relay->stopping_ms == 0 &&
+    return relay->peers != NULL && relay->stop_requested_ms == 0 &&
            peers_upstream(relay->peers, addr);
 }
 
@@ -151,14 +151,14 @@
 {
     relay_t *relay = arg;
     relay->servers->lists++;
-    object_cache_list(relay->objects, KIND_SERVERS);
+    object_cache_list(relay->object_cache, KIND_SERVERS);
 }
 
 static void
 on_servers_settled(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_notify(relay->objects, KIND_SERVERS);
+    object_cache_notify(relay->object_cache, KIND_SERVERS);
 }
 
 static void
@@ -203,7 +203,7 @@
     server_entry_t entry;
     err_t err = {0};
     server_t *server = servers_find(relay->servers, object->name);
-    object_cache_put(relay->objects, KIND_SERVERS, object);
+    object_cache_put(relay->object_cache, KIND_SERVERS, object);
     if (server != NULL && object->revision < server->revision) {
         return;
     }
@@ -239,7 +239,7 @@
     relay_t *relay = arg;
     server_t *server;
     relay->servers_listed = true;
-    object_cache_listed(relay->objects, KIND_SERVERS, at);
+    object_cache_listed(relay->object_cache, KIND_SERVERS, at);
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         /* A list that is older than the entry says nothing of it. */
         if (!server->gone && server->seen != relay->servers->lists &&
@@ -257,7 +257,7 @@
     relay_t *relay = arg;
     weights_name_t name;
     err_t err = {0};
-    object_cache_put(relay->objects, KIND_WEIGHTS, object);
+    object_cache_put(relay->object_cache, KIND_WEIGHTS, object);
     if (object->removed) {
         return;
     }
@@ -272,7 +272,7 @@
 on_weights_list(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_list(relay->objects, KIND_WEIGHTS);
+    object_cache_list(relay->object_cache, KIND_WEIGHTS);
 }
 
 static void
@@ -280,14 +280,14 @@
 {
     relay_t *relay = arg;
     relay->weights_listed = true;
-    object_cache_listed(relay->objects, KIND_WEIGHTS, at);
+    object_cache_listed(relay->object_cache, KIND_WEIGHTS, at);
 }
 
 static void
 on_weights_settled(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_notify(relay->objects, KIND_WEIGHTS);
+    object_cache_notify(relay->object_cache, KIND_WEIGHTS);
 }
 
 /* ---- all of it ---- */
@@ -315,7 +315,7 @@
     weights.on_object = on_weights;
     weights.on_listed = on_weights_listed;
     weights.on_settled = on_weights_settled;
-    relay->objects = object_cache_new(relay);
+    relay->object_cache = object_cache_new(relay);
     relay->config_watch = watch_start(relay->base, relay->exchanges, store,
                                       KIND_CONFIG, &config);
     relay->servers_watch = watch_start(relay->base, relay->exchanges, store,
--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -44,7 +44,7 @@
 static void
 on_caller_left(void *owner)
 {
-    request_caller_left(owner);
+    request_caller_disconnected(owner);
 }
 
 /* The balancer is answered at once, so it does not leave before the answer. */
@@ -61,7 +61,7 @@
 {
     (void)head;
     (void)body;
-    caller_answer(caller, relay_ready(arg) ? 200 : 503, NULL, "", 0);
+    caller_answer(caller, relay_is_ready(arg) ? 200 : 503, NULL, "", 0);
 }
 
 /* Whoever gathers metrics asks by any path but those of what other daemons
@@ -74,13 +74,13 @@
     char target[CS_ADDR_MAX * 4];
     (void)body;
     http_head_copy(head, head->target, target, sizeof(target));
-    if (object_cache_answer(relay->objects, caller, target)) {
+    if (object_cache_answer(relay->object_cache, caller, target)) {
         return;
     }
     CLEAN_BUF buf_t headers = {0};
     CLEAN_BUF buf_t text = {0};
     buf_str(&headers, "Content-Type: text/plain\r\n");
-    relay_metrics(relay, &text);
+    relay_write_metrics(relay, &text);
     caller_answer(caller, 200, &headers, buf_text(&text), text.len);
 }
 
@@ -106,12 +106,13 @@
     static const door_hooks_t metrics = {.limits = question_limits,
                                          .on_request = on_metrics_request,
                                          .on_left = object_cache_caller_left};
-    relay->ready_door = open_at(relay, relay->settings.ready, &ready, err);
-    relay->metrics_door =
+    relay->ready_listener = open_at(relay, relay->settings.ready, &ready, err);
+    relay->metrics_listener =
         open_at(relay, relay->settings.metrics, &metrics, err);
-    relay->door = open_at(relay, relay->settings.http, &callers, err);
-    return relay->door != NULL && relay->ready_door != NULL &&
-                   relay->metrics_door != NULL
+    relay->caller_listener =
+        open_at(relay, relay->settings.http, &callers, err);
+    return relay->caller_listener != NULL && relay->ready_listener != NULL &&
+                   relay->metrics_listener != NULL
                ? 0
                : -1;
 }
--- a/relay/meter.c
+++ b/relay/meter.c
@@ -6,7 +6,7 @@
 /* Quantiles that each histogram shows. */
 static const double quantiles[] = {0.5, 0.95, 0.99};
 
-static const char *const outcome_words[METER_OUTCOMES] = {
+static const char *const outcome_words[METER_OUTCOME_COUNT] = {
     "answered", "server_failure", "refused", "failed", "caller_left"};
 
 void
@@ -48,34 +48,37 @@
 }
 
 void
-meter_gauge(buf_t *out, const char *name, double value)
+meter_write_value(buf_t *out, const char *name, double value)
 {
     buf_fmt(out, "celeryspool_%s %g\n", name, value);
 }
 
 /* All counts and histograms. */
 void
-meter_text(const meter_t *meter, buf_t *out)
+meter_write(const meter_t *meter, buf_t *out)
 {
     const meter_route_t *route;
     CK_SLIST_FOREACH (route, &meter->routes, entry) {
-        for (size_t i = 0; i < METER_OUTCOMES; i++) {
+        for (size_t i = 0; i < METER_OUTCOME_COUNT; i++) {
             buf_fmt(out,
                     "celeryspool_requests_total{route=\"%s\","
                     "outcome=\"%s\"} %llu\n",
                     route->name, outcome_words[i],
                     (unsigned long long)route->outcomes[i]);
         }
-        histogram_text(&route->first, "first_answer", route->name, out);
+        histogram_text(&route->first_answer, "first_answer", route->name, out);
         histogram_text(&route->total, "total", route->name, out);
-        histogram_text(&route->added, "added", route->name, out);
+        histogram_text(&route->overhead, "added", route->name, out);
     }
-    meter_gauge(out, "sends_total", (double)meter->sends);
-    meter_gauge(out, "retries_total", (double)meter->retries);
-    meter_gauge(out, "not_let_in_total", (double)meter->not_let_in);
-    meter_gauge(out, "prompt_tokens_total", (double)meter->prompt_tokens);
-    meter_gauge(out, "held_tokens_total", (double)meter->held_tokens);
-    meter_gauge(out, "cache_events_total", (double)meter->cache_events);
-    meter_gauge(out, "cache_appeared_total", (double)meter->cache_appeared);
-    meter_gauge(out, "cache_evicted_total", (double)meter->cache_evicted);
+    meter_write_value(out, "sends_total", (double)meter->sends);
+    meter_write_value(out, "retries_total", (double)meter->retries);
+    meter_write_value(out, "not_let_in_total", (double)meter->not_admitted);
+    meter_write_value(out, "prompt_tokens_total",
+                      (double)meter->prompt_tokens);
+    meter_write_value(out, "held_tokens_total", (double)meter->cached_tokens);
+    meter_write_value(out, "cache_events_total", (double)meter->cache_events);
+    meter_write_value(out, "cache_appeared_total",
+                      (double)meter->cache_appeared);
+    meter_write_value(out, "cache_evicted_total",
+                      (double)meter->cache_evicted);
 }
--- a/relay/meter.h
+++ b/relay/meter.h
@@ -13,26 +13,26 @@
     METER_REFUSED,
     METER_FAILED,
     METER_CALLER_LEFT,
-    METER_OUTCOMES
+    METER_OUTCOME_COUNT
 } meter_outcome_t;
 
 /* One route's requests. */
 typedef struct meter_route {
     CK_SLIST_ENTRY(meter_route) entry;
     char name[CS_NAME_MAX];
-    uint64_t outcomes[METER_OUTCOMES];
-    histogram_t first; /* to the first event or the answer */
+    uint64_t outcomes[METER_OUTCOME_COUNT];
+    histogram_t first_answer; /* to the first event or the answer */
     histogram_t total;
-    histogram_t added; /* by the router, before the send */
+    histogram_t overhead; /* by the router, before the send */
 } meter_route_t;
 
 typedef struct {
     CK_SLIST_HEAD(meter_routes, meter_route) routes;
     uint64_t sends;
     uint64_t retries;
-    uint64_t not_let_in;
+    uint64_t not_admitted;
     uint64_t prompt_tokens;
-    uint64_t held_tokens;    /* that servers were believed to hold */
+    uint64_t cached_tokens;  /* that servers were believed to hold */
     uint64_t cache_events;   /* of the caches that this daemon follows */
     uint64_t cache_appeared; /* parts that were not known to be held */
     uint64_t cache_evicted;  /* parts that were still believed to be held */
@@ -40,7 +40,7 @@
 
 void meter_init(meter_t *meter);
 meter_route_t *meter_route(meter_t *meter, const char *name);
-void meter_text(const meter_t *meter, buf_t *out);
-void meter_gauge(buf_t *out, const char *name, double value);
+void meter_write(const meter_t *meter, buf_t *out);
+void meter_write_value(buf_t *out, const char *name, double value);
 
 #endif
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -30,7 +30,7 @@
 
 struct object_cache {
     relay_t *relay;
-    object_cache_kind_t kinds[KINDS_CACHED];
+    object_cache_kind_t kinds[CACHED_KIND_COUNT];
     waiters_t waiters;
 };
 
@@ -40,7 +40,7 @@
     object_cache_t *cache = mem_zalloc(sizeof(*cache));
     cache->relay = relay;
     CK_LIST_INIT(&cache->waiters);
-    for (size_t i = 0; i < KINDS_CACHED; i++) {
+    for (size_t i = 0; i < CACHED_KIND_COUNT; i++) {
         cache->kinds[i].objects = json_object();
         cache->kinds[i].changes = json_array();
     }
@@ -51,7 +51,7 @@
 void
 object_cache_free(object_cache_t *cache)
 {
-    for (size_t i = 0; i < KINDS_CACHED; i++) {
+    for (size_t i = 0; i < CACHED_KIND_COUNT; i++) {
         json_decref(cache->kinds[i].objects);
         json_decref(cache->kinds[i].listing);
         json_decref(cache->kinds[i].changes);
@@ -63,7 +63,7 @@
 watch_of(const object_cache_t *cache, kind_t kind)
 {
     const relay_t *relay = cache->relay;
-    watch_t *watches[KINDS_CACHED] = {
+    watch_t *watches[CACHED_KIND_COUNT] = {
         relay->config_watch, relay->servers_watch, relay->weights_watch};
     return watches[kind];
 }
@@ -191,7 +191,7 @@
     const object_cache_kind_t *own = &cache->kinds[kind];
     const watch_t *watch = watch_of(cache, kind);
     *page = NULL;
-    if (!watch_fresh(watch) || cache->relay->stopping_ms != 0) {
+    if (!watch_fresh(watch) || cache->relay->stop_requested_ms != 0) {
         return 503;
     }
     if (from < own->since) {
@@ -286,7 +286,7 @@
     if (!platform_query_read(&query, target)) {
         return false;
     }
-    if (query.kind >= KINDS_CACHED ||
+    if (query.kind >= CACHED_KIND_COUNT ||
         !watch_listed(watch_of(cache, query.kind))) {
         answer(caller, 404, NULL);
         return true;
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -116,7 +116,7 @@
     size_t count = 0;
     server_t *server;
     for (size_t i = 0; i < KV_STORES_MAX; i++) {
-        const kv_store_t *store = &relay->stores.all[i];
+        const kv_store_t *store = &relay->kv_stores.all[i];
         if (store->held != NULL) {
             count += send_parts(peers, addr, store->name, store->held);
         }
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -22,7 +22,7 @@
     relay_t *relay = peers->relay;
     double part = retry_hosts_part(&peers->hosts, peers_live(peers),
                                    (size_t)relay->settings.hosts, now);
-    relay->retries.slack = part * relay->settings.retry_slack;
+    relay->retry_shares.slack = part * relay->settings.retry_slack;
 }
 
 static void
@@ -58,7 +58,7 @@
     peers_note_members(peers);
     members_tick(peers->members, now,
                  relay->config != NULL ? relay->config->revision : 0,
-                 relay->stopping_ms != 0 ? MEMBER_LEAVING : MEMBER_LIVE,
+                 relay->stop_requested_ms != 0 ? MEMBER_LEAVING : MEMBER_LIVE,
                  &peers->out);
     peers_send_members(peers);
 }
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -54,7 +54,7 @@
     }
     server->silent = true;
     exchanges_drop(relay->exchanges, server->info.addr);
-    requests_abandon(relay, server);
+    requests_fail_over(relay, server);
 }
 
 static void
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -20,9 +20,9 @@
 
 /* Whether the balancer may send callers here. */
 bool
-relay_ready(const relay_t *relay)
+relay_is_ready(const relay_t *relay)
 {
-    return relay->stopping_ms == 0 && relay->config != NULL &&
+    return relay->stop_requested_ms == 0 && relay->config != NULL &&
            relay->servers_listed && relay->weights_listed;
 }
 
@@ -30,10 +30,10 @@
  * ago that the balancer has left, and what begins now might not end in time.
  */
 bool
-relay_shut(const relay_t *relay)
+relay_is_closed(const relay_t *relay)
 {
-    return relay->stopping_ms != 0 &&
-           time_mono_ms() - relay->stopping_ms >= DOOR_MS;
+    return relay->stop_requested_ms != 0 &&
+           time_mono_ms() - relay->stop_requested_ms >= DOOR_MS;
 }
 
 /* What is known of one server, as gauges. */
@@ -52,9 +52,9 @@
 static void
 quota_metrics(const quotas_t *quotas, buf_t *out)
 {
-    meter_gauge(out, "quota_hosts", (double)quotas->host_count + 1);
-    meter_gauge(out, "quota_hosts_in_touch",
-                (double)quotas->in_touch_count + 1);
+    meter_write_value(out, "quota_hosts", (double)quotas->host_count + 1);
+    meter_write_value(out, "quota_hosts_in_touch",
+                      (double)quotas->in_touch_count + 1);
     for (size_t i = 0; i < QUOTA_BUCKETS; i++) {
         const quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
@@ -71,32 +71,36 @@
 
 /* Counters, histograms and what this daemon believes, as text. */
 void
-relay_metrics(const relay_t *relay, buf_t *out)
+relay_write_metrics(const relay_t *relay, buf_t *out)
 {
     int64_t now = time_mono_ms();
     const server_t *server;
-    meter_text(&relay->meter, out);
-    meter_gauge(out, "ready", relay_ready(relay));
-    meter_gauge(out, "requests_running", (double)relay->request_count);
-    meter_gauge(out, "callers", (double)http_door_callers(relay->door));
-    meter_gauge(out, "body_bytes", (double)relay->body_bytes);
-    meter_gauge(out, "server_connections_total",
-                (double)exchanges_opened(relay->exchanges));
-    meter_gauge(out, "config_version",
-                relay->config != NULL ? (double)relay->config->version : 0);
-    meter_gauge(out, "config_heard_ms_ago",
-                (double)(now - watch_heard_ms(relay->config_watch)));
-    meter_gauge(out, "servers_heard_ms_ago",
-                (double)(now - watch_heard_ms(relay->servers_watch)));
-    meter_gauge(out, "store_calls_total",
-                (double)(watch_calls(relay->config_watch) +
-                         watch_calls(relay->servers_watch) +
-                         watch_calls(relay->weights_watch)));
-    meter_gauge(out, "forecast_error_ms", relay->forecast.error_ms);
-    meter_gauge(out, "forecast_spread_ms", relay->forecast.spread_ms);
-    meter_gauge(out, "daemons", (double)peers_live(relay->peers));
-    meter_gauge(out, "cache_levels", (double)cache_map_size(relay->cache));
-    meter_gauge(out, "log_lines_left_out_total", (double)log_left_out_total());
+    meter_write(&relay->meter, out);
+    meter_write_value(out, "ready", relay_is_ready(relay));
+    meter_write_value(out, "requests_running", (double)relay->request_count);
+    meter_write_value(out, "callers",
+                      (double)http_door_callers(relay->caller_listener));
+    meter_write_value(out, "body_bytes", (double)relay->body_bytes);
+    meter_write_value(out, "server_connections_total",
+                      (double)exchanges_opened(relay->exchanges));
+    meter_write_value(
+        out, "config_version",
+        relay->config != NULL ? (double)relay->config->version : 0);
+    meter_write_value(out, "config_heard_ms_ago",
+                      (double)(now - watch_heard_ms(relay->config_watch)));
+    meter_write_value(out, "servers_heard_ms_ago",
+                      (double)(now - watch_heard_ms(relay->servers_watch)));
+    meter_write_value(out, "store_calls_total",
+                      (double)(watch_calls(relay->config_watch) +
+                               watch_calls(relay->servers_watch) +
+                               watch_calls(relay->weights_watch)));
+    meter_write_value(out, "forecast_error_ms", relay->forecast.error_ms);
+    meter_write_value(out, "forecast_spread_ms", relay->forecast.spread_ms);
+    meter_write_value(out, "daemons", (double)peers_live(relay->peers));
+    meter_write_value(out, "cache_levels",
+                      (double)cache_map_size(relay->cache_map));
+    meter_write_value(out, "log_lines_left_out_total",
+                      (double)log_left_out_total());
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         server_metrics(server, now, out);
     }
@@ -106,12 +110,12 @@
 static void
 stop_step(relay_t *relay)
 {
-    int64_t since = time_mono_ms() - relay->stopping_ms;
+    int64_t since = time_mono_ms() - relay->stop_requested_ms;
     int64_t last = (int64_t)(relay->settings.stop_s * 1000) - END_MARGIN_MS;
-    if (relay_shut(relay) || since >= last) {
-        http_door_shut(relay->door);
+    if (relay_is_closed(relay) || since >= last) {
+        http_door_shut(relay->caller_listener);
     }
-    size_t callers = http_door_callers(relay->door);
+    size_t callers = http_door_callers(relay->caller_listener);
     if ((since >= DOOR_MS && callers == 0) || since >= last) {
         log_record(LOG_INFO, "daemon", "stopped",
                    "after_ms=%lld requests_left=%zu callers_left=%zu",
@@ -126,15 +130,15 @@
     relay_t *relay = arg;
     (void)fd;
     (void)what;
-    if (relay->turn_ticks++ % SWEEP_TICKS == 0) {
+    if (relay->tick_count++ % SWEEP_TICKS == 0) {
         exchanges_sweep(relay->exchanges);
     }
     discovery_tick(relay);
     requests_tick(relay);
     rollout_tick(relay->rollout);
-    cache_follows_tick(relay->cache_follows);
+    cache_follower_tick(relay->cache_follower);
     peers_tick(relay->peers);
-    if (relay->stopping_ms != 0) {
+    if (relay->stop_requested_ms != 0) {
         stop_step(relay);
     }
     log_flush();
@@ -145,14 +149,15 @@
 {
     relay_t *relay = arg;
     (void)what;
-    if (relay->stopping_ms != 0) {
+    if (relay->stop_requested_ms != 0) {
         return;
     }
-    relay->stopping_ms = time_mono_ms();
-    http_door_leave(relay->door);
+    relay->stop_requested_ms = time_mono_ms();
+    http_door_leave(relay->caller_listener);
     log_record(LOG_INFO, "daemon", "stopping",
                "signal=%d requests=%zu callers=%zu", (int)number,
-               relay->request_count, http_door_callers(relay->door));
+               relay->request_count,
+               http_door_callers(relay->caller_listener));
 }
 
 /* The settings may have changed.  What may change while a process runs is
@@ -165,7 +170,7 @@
     CLEAN_BUF buf_t problems = {0};
     (void)number;
     (void)what;
-    if (settings_read(&fresh, relay->path, &problems) != 0) {
+    if (settings_read(&fresh, relay->settings_path, &problems) != 0) {
         log_record(LOG_ERROR, "daemon", "reload-refused", "why=\"%.400s\"",
                    buf_text(&problems));
         return;
@@ -174,7 +179,8 @@
     relay->settings.stop_s = fresh.stop_s;
     relay->settings.weights_ms = fresh.weights_ms;
     log_setup(relay->settings.name, (log_level_t)fresh.log_level);
-    log_record(LOG_INFO, "daemon", "reloaded", "file=%s", relay->path);
+    log_record(LOG_INFO, "daemon", "reloaded", "file=%s",
+               relay->settings_path);
 }
 
 static int
@@ -196,8 +202,8 @@
     if (relay->peers == NULL) {
         return -1;
     }
-    relay->tick = event_new(relay->base, -1, EV_PERSIST, on_tick, relay);
-    (void)event_add(relay->tick, &step);
+    relay->tick_timer = event_new(relay->base, -1, EV_PERSIST, on_tick, relay);
+    (void)event_add(relay->tick_timer, &step);
     relay->signals[0] = evsignal_new(relay->base, SIGTERM, on_stop, relay);
     relay->signals[1] = evsignal_new(relay->base, SIGINT, on_stop, relay);
     relay->signals[2] = evsignal_new(relay->base, SIGHUP, on_reload, relay);
@@ -211,19 +217,19 @@
 relay_init(relay_t *relay, const settings_t *settings, const char *path)
 {
     relay->settings = *settings;
-    relay->path = path;
+    relay->settings_path = path;
     relay->rng.state = (uint64_t)time_mono_us() ^
                        str_hash(settings->name, (uint64_t)time_wall_ms());
     meter_init(&relay->meter);
     CK_LIST_INIT(&relay->requests);
     relay->servers = servers_new();
-    relay->cache = cache_map_new(CACHE_LEVELS);
+    relay->cache_map = cache_map_new(CACHE_LEVELS);
     const quota_bounds_t bounds = {.window_s = settings->quota_window_s,
                                    .overage = settings->quota_overage,
                                    .slack = settings->quota_slack};
     quotas_init(&relay->quotas, &bounds, (uint64_t)time_wall_ms(),
                 time_mono_ms());
-    retry_shares_init(&relay->retries, settings->retry_ratio,
+    retry_shares_init(&relay->retry_shares, settings->retry_ratio,
                       (int64_t)(settings->retry_window_s * 1000));
 }
 
@@ -242,7 +248,7 @@
                settings->dc, settings->http, settings->ready, settings->store);
     discovery_start(relay);
     relay->rollout = rollout_new(relay);
-    relay->cache_follows = cache_follows_new(relay);
+    relay->cache_follower = cache_follower_new(relay);
     (void)event_base_dispatch(relay->base);
     log_flush();
     /* What is left belongs to the process, which ends now. */
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -27,7 +27,7 @@
 typedef struct rollout rollout_t;
 typedef struct peers peers_t;
 typedef struct object_cache object_cache_t;
-typedef struct cache_follows cache_follows_t;
+typedef struct cache_follower cache_follower_t;
 
 /* Notifies the other daemons that a holder, a server or a kv store, has a
  * part of prompts, or has it no longer. A part of no tokens of its own is
@@ -36,7 +36,7 @@
                               const cached_part_t *part, bool held);
 
 /* Kinds of object that other daemons may ask for: the first of kind_t. */
-#define KINDS_CACHED 3
+#define CACHED_KIND_COUNT 3
 
 /* ---- the newest weights that were named ---- */
 
@@ -44,19 +44,19 @@
 
 /* Versions of a model that are remembered with the time of their naming; a
  * rollout that is older than all of these is over. */
-#define WEIGHTS_KEPT 8
+#define WEIGHTS_VERSIONS_MAX 8
 
 typedef struct {
     int64_t version;
-    int64_t named_ms; /* by the time of day, when a host first knew it */
-    bool guessed;     /* that time is not known, only a bound */
-} weights_named_t;
+    int64_t published_ms; /* by the time of day, when a host first knew it */
+    bool estimated;       /* that time is not known, only a bound */
+} weights_version_t;
 
 typedef struct {
     char model[SERVER_MODEL_MAX];
-    int64_t version;                     /* the newest */
-    weights_named_t named[WEIGHTS_KEPT]; /* the newest first */
-    size_t named_count;
+    int64_t newest_version;                           /* the newest */
+    weights_version_t versions[WEIGHTS_VERSIONS_MAX]; /* the newest first */
+    size_t version_count;
 } weights_t;
 
 typedef CK_LIST_HEAD(request_list, request) request_list_t;
@@ -64,60 +64,61 @@
 struct relay {
     settings_t settings;
     struct event_base *base;
-    struct event *tick;
+    struct event *tick_timer;
     struct event *signals[3];
     exchanges_t *exchanges;
-    http_door_t *door; /* of callers */
-    http_door_t *ready_door;
-    http_door_t *metrics_door;
+    http_door_t *caller_listener; /* of callers */
+    http_door_t *ready_listener;
+    http_door_t *metrics_listener;
     request_list_t requests;
     size_t request_count;
     size_t body_bytes; /* of all requests that are held */
 
     relay_config_t *config; /* NULL until one was read */
     servers_t *servers;
-    cache_map_t *cache; /* who may hold or is reading a part */
-    kv_stores_t stores; /* of kept parts */
+    cache_map_t *cache_map; /* who may hold or is reading a part */
+    kv_stores_t kv_stores;  /* of kept parts */
     weights_t weights[WEIGHTS_MODELS_MAX];
     size_t weights_count;
     bool servers_listed;
     bool weights_listed;
-    object_cache_t *objects; /* for other daemons */
+    object_cache_t *object_cache; /* for other daemons */
     watch_t *config_watch;
     watch_t *servers_watch;
     watch_t *weights_watch;
     rollout_t *rollout;
     peers_t *peers;
     part_notify_t notify_part;
-    cache_follows_t *cache_follows;
-    retry_shares_t retries;
+    cache_follower_t *cache_follower;
+    retry_shares_t retry_shares;
     quotas_t quotas;
     forecast_t forecast; /* of first answers of engines */
 
     rng_t rng;
-    uint64_t turn;
-    unsigned turn_ticks;
-    const char *path;    /* of the settings file */
-    int64_t stopping_ms; /* when the stop was asked for, 0 if it was not */
+    uint64_t placement_count;
+    unsigned tick_count;
+    const char *settings_path; /* of the settings file */
+    int64_t
+        stop_requested_ms; /* when the stop was asked for, 0 if it was not */
     meter_t meter;
 };
 
 int relay_run(const settings_t *settings, const char *path, err_t *err);
-bool relay_ready(const relay_t *relay);
-bool relay_shut(const relay_t *relay);
-const weights_t *relay_weights(const relay_t *relay, const char *model);
-void weights_note(relay_t *relay, const char *model, int64_t version,
-                  int64_t named_ms);
-void weights_note_bound(relay_t *relay, const char *model, int64_t version,
-                        int64_t named_ms);
+bool relay_is_ready(const relay_t *relay);
+bool relay_is_closed(const relay_t *relay);
+const weights_t *relay_find_weights(const relay_t *relay, const char *model);
+void weights_record(relay_t *relay, const char *model, int64_t version,
+                    int64_t named_ms);
+void weights_record_estimate(relay_t *relay, const char *model,
+                             int64_t version, int64_t named_ms);
 void weights_observe(relay_t *relay, const char *model, int64_t version,
                      int64_t wall_ms);
 bool weights_expired(const weights_t *weights, int64_t version,
                      int64_t wall_ms, int64_t allowed_ms);
-int64_t weights_older_ms(const weights_t *weights, int64_t version,
-                         int64_t wall_ms);
+int64_t weights_superseded_ms(const weights_t *weights, int64_t version,
+                              int64_t wall_ms);
 
-void relay_metrics(const relay_t *relay, buf_t *out);
+void relay_write_metrics(const relay_t *relay, buf_t *out);
 
 /* ---- callers ---- */
 
@@ -127,9 +128,9 @@
 
 void request_begin(relay_t *relay, caller_t *caller, const http_head_t *head,
                    buf_t *body);
-void request_caller_left(request_t *request);
+void request_caller_disconnected(request_t *request);
 void requests_tick(relay_t *relay);
-void requests_abandon(relay_t *relay, const server_t *server);
+void requests_fail_over(relay_t *relay, const server_t *server);
 
 /* ---- what the platform holds ---- */
 
@@ -147,10 +148,10 @@
 
 /* ---- caches ---- */
 
-cache_follows_t *cache_follows_new(relay_t *relay);
-size_t cache_follows_count(const cache_follows_t *follows);
-void cache_follows_tick(cache_follows_t *follows);
-void cache_follows_asked(cache_follows_t *follows, uint64_t key);
+cache_follower_t *cache_follower_new(relay_t *relay);
+size_t cache_follower_cache_count(const cache_follower_t *follows);
+void cache_follower_tick(cache_follower_t *follows);
+void cache_follower_part_requested(cache_follower_t *follows, uint64_t key);
 
 /* ---- orders ---- */
 
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -46,11 +46,12 @@
 weights_allowed(const request_t *request, const server_t *server)
 {
     const weights_t *newest =
-        relay_weights(request->relay, request->prompt.model);
-    if (newest == NULL || server->info.weights >= newest->version) {
+        relay_find_weights(request->relay, request->prompt.model);
+    if (newest == NULL || server->info.weights >= newest->newest_version) {
         return true;
     }
-    return weights_older_ms(newest, server->info.weights, time_wall_ms()) <
+    return weights_superseded_ms(newest, server->info.weights,
+                                 time_wall_ms()) <
            (int64_t)(OLD_WEIGHTS_PART * request->relay->settings.weights_ms);
 }
 
@@ -104,7 +105,7 @@
 {
     if (!levels->known || levels->weights != weights) {
         char salt[CS_ID_LEN + 1];
-        request_salt(request, weights, salt);
+        request_cache_salt(request, weights, salt);
         prompt_levels(&request->prompt, salt, &levels->prefix);
         levels->weights = weights;
         levels->known = true;
@@ -119,9 +120,10 @@
 {
     double ms = server->error_share * ERROR_MS;
     const weights_t *newest =
-        request->engine ? relay_weights(request->relay, request->prompt.model)
-                        : NULL;
-    if (newest != NULL && server->info.weights < newest->version) {
+        request->engine
+            ? relay_find_weights(request->relay, request->prompt.model)
+            : NULL;
+    if (newest != NULL && server->info.weights < newest->newest_version) {
         ms += OLD_WEIGHTS_MS;
     }
     return ms;
@@ -155,7 +157,7 @@
      * takes longer for it counts as waiting. */
     wait += (request->prompt.prompt_tokens - view.shared) *
             (server->slowness - 1) / SERVER_READ_TOKENS_PER_MS;
-    out->rank = place_weight(request->home, server->info.id);
+    out->rank = place_weight(request->affinity_key, server->info.id);
     out->wait_ms = wait + preference_ms(request, server);
     return wait;
 }
@@ -190,7 +192,8 @@
         return count;
     }
     for (size_t i = 0; i < count; i++) {
-        uint64_t rank = place_weight(request->home, servers[i]->info.id);
+        uint64_t rank =
+            place_weight(request->affinity_key, servers[i]->info.id);
         home = rank > most ? i : home;
         most = rank > most ? rank : most;
     }
@@ -207,7 +210,7 @@
 
 /* The server for a request, or NULL if none can take it now. */
 server_t *
-request_choose(request_t *request, int64_t now)
+request_choose_server(request_t *request, int64_t now)
 {
     relay_t *relay = request->relay;
     candidate_t all[CHOOSE_MAX];
@@ -228,12 +231,12 @@
                        .objective = relay->settings.objective != 0
                                         ? OBJECTIVE_HITS
                                         : OBJECTIVE_TAIL,
-                       .turn = relay->turn++};
+                       .turn = relay->placement_count++};
     size_t best = policy_find("cost")->choose(all, count, &ask);
-    request->wait_ms = waits[best];
+    request->expected_wait_ms = waits[best];
     uint32_t held = all[best].cached;
     uint32_t tokens = request->prompt.prompt_tokens;
-    request->read_ms =
+    request->expected_prefill_ms =
         (tokens > held ? tokens - held : 0) * 1000.0 / all[best].rate;
     log_record(
         LOG_INFO, "place", "chosen",
@@ -252,19 +255,19 @@
 request_place(request_t *request)
 {
     int64_t now = time_mono_ms();
-    server_t *server = request_choose(request, now);
+    server_t *server = request_choose_server(request, now);
     if (server == NULL) {
         return false;
     }
     const admit_ask_t ask = {
-        .wait_ms = request->wait_ms,
-        .read_ms = request->read_ms,
+        .wait_ms = request->expected_wait_ms,
+        .read_ms = request->expected_prefill_ms,
         .margin_ms = forecast_margin_ms(&request->relay->forecast),
         .target_ms = request->route->target_ms,
-        .left_ms = request->until_ms - now,
+        .left_ms = request->deadline_ms - now,
         .engine = request->engine};
     int64_t after_ms = admit_after_ms(&ask);
-    if (after_ms > 0 && request->ran == 0) {
+    if (after_ms > 0 && request->possible_runs == 0) {
         log_record(LOG_INFO, "place", "too-busy",
                    "id=%s server=%s wait_ms=%.0f read_ms=%.0f margin_ms=%.0f "
                    "target_ms=%d",
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -9,7 +9,7 @@
 {
     const workspace_entry_t *workspace = request->workspace;
     const header_t *tokens =
-        http_head_find(request->head, wire_header_name(HEADER_TOKENS));
+        http_head_find(request->head, wire_header_name(HEADER_TOKEN_USAGE));
     prompt_t prompt = {0};
     switch (workspace->limit_unit) {
         case LIMIT_REQUESTS:
@@ -36,7 +36,7 @@
 /* Whether the request is within its workspace's limit, of which it then has a
  * part. */
 quota_verdict_t
-request_ask_quota(request_t *request)
+request_charge_quota(request_t *request)
 {
     quotas_t *quotas = &request->relay->quotas;
     quota_t *quota = quota_of(request);
@@ -47,7 +47,7 @@
     int64_t now = time_mono_ms();
     quota_verdict_t verdict = quota_ask(quotas, quota, cost, now);
     if (verdict.allowed) {
-        request->charged = cost;
+        request->quota_charge = cost;
         return verdict;
     }
     log_record(LOG_WARN, "quota", "exceeded",
@@ -62,23 +62,23 @@
 
 /* A request that has run already runs once more. */
 void
-request_charge_again(request_t *request)
+request_recharge_quota(request_t *request)
 {
     quota_t *quota = quota_of(request);
-    if (quota != NULL && request->charged > 0) {
-        quota_spend(&request->relay->quotas, quota, request->charged,
+    if (quota != NULL && request->quota_charge > 0) {
+        quota_spend(&request->relay->quotas, quota, request->quota_charge,
                     time_mono_ms());
     }
 }
 
 /* A request that has surely not run gives back what it was charged. */
 void
-request_return_charge(request_t *request)
+request_refund_quota(request_t *request)
 {
     quota_t *quota = quota_of(request);
     bool ran = request->sends > 0 && request->outcome != METER_REFUSED;
-    if (quota != NULL && request->charged > 0 && !ran) {
-        quota_return(&request->relay->quotas, quota, request->charged,
+    if (quota != NULL && request->quota_charge > 0 && !ran) {
+        quota_return(&request->relay->quotas, quota, request->quota_charge,
                      time_mono_ms());
     }
 }
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -57,10 +57,10 @@
 {
     switch (meaning) {
         case HEADER_CONNECTION:
-        case HEADER_LENGTH:
+        case HEADER_CONTENT_LENGTH:
         case HEADER_EXPECT:
         case HEADER_DEADLINE:
-        case HEADER_KEY:
+        case HEADER_ACCESS_KEY:
         case HEADER_WORKSPACE:
         case HEADER_PRIORITY:
         case HEADER_EXPECT_SERVER:
@@ -71,7 +71,7 @@
         case HEADER_CACHE_PIN:
         case HEADER_CACHE_HOLD:
         case HEADER_CACHE_BACKUP:
-        case HEADER_MEMORY_FROM:
+        case HEADER_KV_FROM:
             return false;
         case HEADER_LAST_EVENT:
             return !has_last;
@@ -84,12 +84,12 @@
 add_callers_headers(const request_t *request, buf_t *out)
 {
     const http_head_t *head = request->head;
-    bool has_last = request->stream.last[0] != '\0';
+    bool has_last = request->stream.last_id[0] != '\0';
     bool named = http_head_find(head, "Connection") != NULL;
     for (unsigned i = 0; i < head->count; i++) {
         const header_t *header = &head->headers[i];
-        wire_header_t meaning =
-            wire_header(http_head_at(head, header->name), header->name.len);
+        wire_header_t meaning = wire_header_find(
+            http_head_at(head, header->name), header->name.len);
         if (!is_passed_on(meaning, has_last) ||
             (named && is_named(head, header))) {
             continue;
@@ -100,7 +100,7 @@
         buf_str(out, "\r\n");
     }
     if (has_last) {
-        head_add(out, HEADER_LAST_EVENT, request->stream.last);
+        head_add(out, HEADER_LAST_EVENT, request->stream.last_id);
     }
 }
 
@@ -115,8 +115,8 @@
         cache_store_for(relay, &request->prefix, &number);
     cache_view_t view;
     cache_look(relay, &request->prefix, server, &view);
-    request->cached = view.found ? view.source.tokens : view.here;
-    request->saves = false;
+    request->cached_tokens = view.found ? view.source.tokens : view.here;
+    request->saves_to_kv_store = false;
     const char *from = cache_fetch_from(&view, store);
     if (from != NULL) {
         head_add(out, HEADER_CACHE_FETCH, from);
@@ -124,14 +124,14 @@
     if (store != NULL && !cache_kept(relay, &request->prefix, number) &&
         cache_save(relay, &request->prefix, server, number)) {
         head_add(out, HEADER_CACHE_SAVE, store->addr);
-        request->saves = true;
+        request->saves_to_kv_store = true;
     }
 }
 
 /* The name under which servers on these weights keep parts of the prompt. */
 void
-request_salt(const request_t *request, int64_t weights,
-             char out[CS_ID_LEN + 1])
+request_cache_salt(const request_t *request, int64_t weights,
+                   char out[CS_ID_LEN + 1])
 {
     bool isolated = request->workspace != NULL && request->workspace->isolated;
     prompt_salt(request->prompt.model, weights,
@@ -145,10 +145,11 @@
 {
     char text[32];
     char salt[CS_ID_LEN + 1];
-    request_salt(request, request->weights, salt);
+    request_cache_salt(request, request->weights_version, salt);
     prompt_levels(&request->prompt, salt, &request->prefix);
     head_add(out, HEADER_CACHE_SALT, salt);
-    (void)snprintf(text, sizeof(text), "%lld", (long long)request->weights);
+    (void)snprintf(text, sizeof(text), "%lld",
+                   (long long)request->weights_version);
     head_add(out, HEADER_EXPECT_VERSION, text);
     add_cache_headers(request, server, out);
     int priority = request->route->priority;
@@ -170,7 +171,7 @@
     buf_str(out, " HTTP/1.1\r\n");
     add_callers_headers(request, out);
     (void)snprintf(text, sizeof(text), "%lld",
-                   (long long)(request->until_ms - request->sent_ms));
+                   (long long)(request->deadline_ms - request->sent_ms));
     head_add(out, HEADER_DEADLINE, text);
     head_add(out, HEADER_EXPECT_SERVER, server->info.id);
     if (request->workspace != NULL) {
@@ -180,7 +181,7 @@
         add_engine_headers(request, server, out);
     }
     if (request->body->len > 0 || head->method != HTTP_GET) {
-        buf_fmt(out, "%s: %zu\r\n", wire_header_name(HEADER_LENGTH),
+        buf_fmt(out, "%s: %zu\r\n", wire_header_name(HEADER_CONTENT_LENGTH),
                 request->body->len);
     }
     buf_str(out, "\r\n");
@@ -224,10 +225,10 @@
     request->headers.len = 0;
     for (unsigned i = 0; i < head->count; i++) {
         const header_t *header = &head->headers[i];
-        switch (
-            wire_header(http_head_at(head, header->name), header->name.len)) {
+        switch (wire_header_find(http_head_at(head, header->name),
+                                 header->name.len)) {
             case HEADER_CONNECTION:
-            case HEADER_LENGTH:
+            case HEADER_CONTENT_LENGTH:
             case HEADER_LOAD:
                 continue;
             default:
@@ -245,7 +246,7 @@
 /* What an answer is, by its head.  One without the server's signature or the
  * request's id, or with an encoding nobody asked for, is not the server's own
  * and is never passed on. */
-static answer_t
+static answer_class_t
 classify(const request_t *request, const http_head_t *head)
 {
     bool has_id =
@@ -253,18 +254,19 @@
     bool is_signed =
         http_head_find(head, wire_header_name(HEADER_SIGNATURE)) != NULL;
     bool not_run =
-        http_head_find(head, wire_header_name(HEADER_NOT_RUN)) != NULL;
+        http_head_find(head, wire_header_name(HEADER_NOT_EXECUTED)) != NULL;
     if (not_run || head->status == 421) {
         return ANSWER_REFUSED;
     }
     if (!has_id || !is_signed ||
-        http_head_find(head, wire_header_name(HEADER_ENCODING)) != NULL) {
-        return ANSWER_BAD;
+        http_head_find(head, wire_header_name(HEADER_CONTENT_ENCODING)) !=
+            NULL) {
+        return ANSWER_INVALID;
     }
     if (head->status == 429 || head->status == 503 || head->status == 408) {
         /* Such a status would promise the caller that nothing ran, and the
          * server does not say so. */
-        return ANSWER_BAD;
+        return ANSWER_INVALID;
     }
     if (head->status >= 500) {
         return ANSWER_FAILED;
@@ -272,7 +274,8 @@
     if (request->route->kind == ROUTE_STREAM && head->status == 200) {
         return ANSWER_STREAM;
     }
-    return request->phase == REQUEST_STREAMING ? ANSWER_BAD : ANSWER_BUFFER;
+    return request->phase == REQUEST_STREAMING ? ANSWER_INVALID
+                                               : ANSWER_BUFFER;
 }
 
 static void
@@ -321,7 +324,7 @@
             }
             break;
         case ANSWER_NONE:
-        case ANSWER_BAD:
+        case ANSWER_INVALID:
             break;
     }
     return HEAD_TAKE;
@@ -343,7 +346,7 @@
 {
     if (request->engine) {
         forecast_note(&request->relay->forecast,
-                      request->wait_ms + request->read_ms,
+                      request->expected_wait_ms + request->expected_prefill_ms,
                       (double)(now - request->sent_ms));
     }
 }
@@ -351,29 +354,30 @@
 /* The first event or the whole answer is there: the prompt is read, and the
  * server holds its parts. */
 void
-request_first_answer(request_t *request)
+request_record_first_answer(request_t *request)
 {
     server_t *server = request->server;
     int64_t now = time_mono_ms();
-    if (request->first_ms == 0) {
-        request->first_ms = now;
+    if (request->first_answer_ms == 0) {
+        request->first_answer_ms = now;
     }
     /* What read_ms holds was worked out with the slowness known then. */
-    if (request->engine && request->wait_ms < SPEED_WAIT_MS &&
-        request->read_ms > SPEED_READ_MS) {
-        server_speed(server, request->read_ms / request->slowness,
+    if (request->engine && request->expected_wait_ms < SPEED_WAIT_MS &&
+        request->expected_prefill_ms > SPEED_READ_MS) {
+        server_speed(server,
+                     request->expected_prefill_ms / request->server_slowness,
                      (double)(now - request->sent_ms) - FIRST_MS);
     }
-    request->began_ms = now;
+    request->answer_started_ms = now;
     note_forecast(request, now);
-    server_read(server, request->unread);
-    request->unread = 0;
+    server_read(server, request->prefill_tokens);
+    request->prefill_tokens = 0;
     if (request->engine) {
         cache_note(request->relay, &request->prefix, server->number);
         server_filled(
             server, request->prefix.tokens - prompt_shared(&request->prompt));
     }
-    if (request->saves) {
+    if (request->saves_to_kv_store) {
         note_saved(request);
     }
 }
@@ -382,18 +386,18 @@
 pass_events(request_t *request, const char *data, size_t len)
 {
     CLEAN_BUF buf_t events = {0};
-    size_t count = stream_take(&request->stream, data, len, &events);
+    size_t count = stream_feed(&request->stream, data, len, &events);
     if (request->stream.overflow) {
         /* No server of ours makes such an event: nothing more is kept of it,
          * and the answer ends as one that cannot be passed on. */
         stream_restart(&request->stream);
-        request->answer = ANSWER_BAD;
+        request->answer = ANSWER_INVALID;
     }
     if (count == 0) {
         return;
     }
-    if (request->unread > 0 || request->first_ms == 0) {
-        request_first_answer(request);
+    if (request->prefill_tokens > 0 || request->first_answer_ms == 0) {
+        request_record_first_answer(request);
     }
     if (request->phase != REQUEST_STREAMING) {
         request->phase = REQUEST_STREAMING;
@@ -415,27 +419,27 @@
         case ANSWER_BUFFER:
         case ANSWER_FAILED:
             if (request->answer_body.len + len > ANSWER_MAX) {
-                request->answer = ANSWER_BAD;
+                request->answer = ANSWER_INVALID;
                 return;
             }
             buf_add(&request->answer_body, data, len);
             return;
         case ANSWER_NONE:
         case ANSWER_REFUSED:
-        case ANSWER_BAD:
+        case ANSWER_INVALID:
             return;
     }
 }
 
 /* The send is over: the server's counts no longer hold it. */
 void
-request_sent_over(request_t *request)
+request_release_server(request_t *request)
 {
     if (request->server == NULL) {
         return;
     }
-    server_read(request->server, request->unread);
-    request->unread = 0;
+    server_read(request->server, request->prefill_tokens);
+    request->prefill_tokens = 0;
     server_done(request->server);
     request->server = NULL;
 }
@@ -478,33 +482,33 @@
     switch (request->answer) {
         case ANSWER_BUFFER:
             server_good(server);
-            request_first_answer(request);
+            request_record_first_answer(request);
             request_deliver(request, METER_ANSWERED, "answered");
             return;
         case ANSWER_STREAM:
-            if (request->stream.part.len > 0) {
+            if (request->stream.partial.len > 0) {
                 break; /* it ends within an event */
             }
             server_good(server);
-            server_held_slot(server,
-                             (double)(time_mono_ms() - request->began_ms));
+            server_held_slot(
+                server, (double)(time_mono_ms() - request->answer_started_ms));
             finish_stream(request);
             return;
         case ANSWER_FAILED:
-            request->ran++;
+            request->possible_runs++;
             server_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
-            request_failed(request, FATE_FAILED);
+            request_attempt_failed(request, FATE_FAILED);
             return;
         case ANSWER_REFUSED:
-            request_failed(request, FATE_REFUSED);
+            request_attempt_failed(request, FATE_REFUSED);
             return;
         case ANSWER_NONE:
-        case ANSWER_BAD:
+        case ANSWER_INVALID:
             break;
     }
-    request->ran++;
+    request->possible_runs++;
     server_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_failed(request, FATE_UNKNOWN);
+    request_attempt_failed(request, FATE_UNKNOWN);
 }
 
 static void
@@ -519,7 +523,7 @@
         case EXCHANGE_UNSENT:
             server_fault(request->server, SERVER_FAULT_CONNECT,
                          time_mono_ms());
-            request_failed(request, FATE_UNSENT);
+            request_attempt_failed(request, FATE_UNSENT);
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
@@ -529,12 +533,12 @@
     }
     /* A refusal whose body is cut has still been given. */
     if (request->answer == ANSWER_REFUSED) {
-        request_failed(request, FATE_REFUSED);
+        request_attempt_failed(request, FATE_REFUSED);
         return;
     }
-    request->ran++;
+    request->possible_runs++;
     server_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_failed(request, FATE_UNKNOWN);
+    request_attempt_failed(request, FATE_UNKNOWN);
 }
 
 static const exchange_hooks_t hooks = {on_head, on_body, on_end, NULL};
@@ -557,8 +561,8 @@
     own.arg = request;
     request->sent_ms = time_mono_ms();
     request->server = server;
-    request->slowness = server->slowness;
-    request->weights = server->info.weights;
+    request->server_slowness = server->slowness;
+    request->weights_version = server->info.weights;
     request->answer = ANSWER_NONE;
     request->headers.len =
         request->phase == REQUEST_STREAMING ? request->headers.len : 0;
@@ -568,20 +572,22 @@
         request->phase = REQUEST_SENT;
     }
     build_head(request, server, &head);
-    request->unread = request->prefix.tokens > request->cached
-                          ? request->prefix.tokens - request->cached
-                          : 0;
-    server_sent(server, request->unread, request->sent_ms);
-    if (request->cached < request->prefix.tokens) {
+    request->prefill_tokens =
+        request->prefix.tokens > request->cached_tokens
+            ? request->prefix.tokens - request->cached_tokens
+            : 0;
+    server_sent(server, request->prefill_tokens, request->sent_ms);
+    if (request->cached_tokens < request->prefix.tokens) {
         cache_note_pending(relay, &request->prefix, server->number);
     }
     note_tried(request, server);
-    if (request->ran > 0) {
-        request_charge_again(request);
+    if (request->possible_runs > 0) {
+        request_recharge_quota(request);
     }
     if (request->sends++ > 0) {
         relay->meter.retries++;
-        retry_share_spend(&relay->retries, request->service, request->sent_ms);
+        retry_share_spend(&relay->retry_shares, request->service,
+                          request->sent_ms);
     }
     relay->meter.sends++;
     exchange_ask_t ask = {.addr = server->info.addr,
@@ -593,6 +599,6 @@
                           .connect_ms = CONNECT_MS};
     request->exchange = exchange_start(relay->exchanges, &ask, &own);
     if (request->sends == 1) {
-        request->added_us = time_mono_us() - request->came_us;
+        request->overhead_us = time_mono_us() - request->received_us;
     }
 }
--- a/relay/request.c
+++ b/relay/request.c
@@ -28,7 +28,7 @@
 /* A caller that left takes its request with it: the server's connection is
  * closed, so that it stops working on what nobody reads. */
 void
-request_caller_left(request_t *request)
+request_caller_disconnected(request_t *request)
 {
     request->caller = NULL;
     request->outcome = METER_CALLER_LEFT;
@@ -47,13 +47,15 @@
         request->id, request->route->name,
         request->workspace != NULL ? request->workspace->name : "-",
         request->service, outcome, request->status, request->sends,
-        request->ran, request->server != NULL ? request->server->info.id : "-",
-        (long long)request->weights, request->cached, request->prefix.tokens,
-        (long long)(request->first_ms > 0
-                        ? request->first_ms - request->came_ms
+        request->possible_runs,
+        request->server != NULL ? request->server->info.id : "-",
+        (long long)request->weights_version, request->cached_tokens,
+        request->prefix.tokens,
+        (long long)(request->first_answer_ms > 0
+                        ? request->first_answer_ms - request->received_ms
                         : -1),
-        (long long)(now - request->came_ms),
-        (long long)(request->until_ms - now),
+        (long long)(now - request->received_ms),
+        (long long)(request->deadline_ms - now),
         (long long)request->config->version);
 }
 
@@ -63,17 +65,18 @@
 {
     meter_t *meter = &request->relay->meter;
     meter_route_t *route = meter_route(meter, request->route->name);
-    int64_t came_us = request->came_ms * 1000;
+    int64_t came_us = request->received_ms * 1000;
     route->outcomes[request->outcome]++;
     histogram_add(&route->total, time_mono_us() - came_us);
-    if (request->first_ms > 0) {
-        histogram_add(&route->first, request->first_ms * 1000 - came_us);
+    if (request->first_answer_ms > 0) {
+        histogram_add(&route->first_answer,
+                      request->first_answer_ms * 1000 - came_us);
     }
     if (request->sends > 0) {
-        histogram_add(&route->added, request->added_us);
+        histogram_add(&route->overhead, request->overhead_us);
     }
     meter->prompt_tokens += request->prefix.tokens;
-    meter->held_tokens += request->cached;
+    meter->cached_tokens += request->cached_tokens;
 }
 
 /* The last step: everything that the request holds is given back.  Its answer
@@ -84,8 +87,8 @@
     relay_t *relay = request->relay;
     request_log(request, outcome);
     request_meter(request);
-    request_return_charge(request);
-    request_sent_over(request);
+    request_refund_quota(request);
+    request_release_server(request);
     if (request->exchange != NULL) {
         exchange_cancel(request->exchange);
     }
@@ -159,7 +162,7 @@
     if (request->server != NULL && request->phase == REQUEST_SENT) {
         server_fault(request->server, SERVER_FAULT_SILENT, time_mono_ms());
     }
-    if (request->ran == 0 &&
+    if (request->possible_runs == 0 &&
         (request->exchange == NULL || !exchange_sent(request->exchange))) {
         request_refuse(request, "no-server-in-time", AFTER_NONE_MS);
         return;
@@ -169,19 +172,19 @@
 
 /* A send came to nothing; decide what the request comes to. */
 void
-request_failed(request_t *request, send_fate_t fate)
+request_attempt_failed(request_t *request, send_fate_t fate)
 {
     int64_t now = time_mono_ms();
     retry_ask_t ask = {
         .kind = request->route->kind,
         .resumable = request->route->resumable,
         .attempts = request->route->attempts,
-        .ran = request->ran,
+        .ran = request->possible_runs,
         .sends = request->sends,
         .begun = request->phase == REQUEST_STREAMING,
-        .share_left =
-            retry_share_left(&request->relay->retries, request->service, now),
-        .left_ms = request->until_ms - now,
+        .share_left = retry_share_left(&request->relay->retry_shares,
+                                       request->service, now),
+        .left_ms = request->deadline_ms - now,
     };
     retry_verdict_t verdict = retry_decide(&ask, fate);
     log_record(
@@ -191,18 +194,18 @@
         request->id, request->server != NULL ? request->server->info.id : "-",
         send_fate_word(fate), ask.ran, ask.sends, ask.share_left,
         (long long)ask.left_ms, retry_verdict_word(verdict), request->status);
-    request_sent_over(request);
+    request_release_server(request);
     switch (verdict) {
         case RETRY_AGAIN:
             if (!request_place(request)) {
-                request->waits_until_ms =
+                request->placement_deadline_ms =
                     now + request->route->target_ms / WAIT_SHARE;
             }
             return;
         case RETRY_WAIT:
             request->tried_count = 0;
             request->not_before_ms = now + WAIT_AGAIN_MS;
-            request->waits_until_ms = request->until_ms;
+            request->placement_deadline_ms = request->deadline_ms;
             return;
         case RETRY_REFUSE:
             request_refuse(request, "refused-by-servers", AFTER_FULL_MS);
@@ -224,14 +227,14 @@
     bool sent = exchange_sent(request->exchange);
     exchange_cancel(request->exchange);
     request->exchange = NULL;
-    request->ran += sent ? 1 : 0;
-    request_failed(request, sent ? FATE_UNKNOWN : FATE_UNSENT);
+    request->possible_runs += sent ? 1 : 0;
+    request_attempt_failed(request, sent ? FATE_UNKNOWN : FATE_UNSENT);
 }
 
 /* A server is gone without a word.  What may run elsewhere goes there; the
  * rest waits on, since the server may only be cut off and still answer. */
 void
-requests_abandon(relay_t *relay, const server_t *server)
+requests_fail_over(relay_t *relay, const server_t *server)
 {
     request_t *request;
     request_t *next;
@@ -255,11 +258,12 @@
 began_too_late(const request_t *request)
 {
     const weights_t *newest =
-        request->engine ? relay_weights(request->relay, request->prompt.model)
-                        : NULL;
+        request->engine
+            ? relay_find_weights(request->relay, request->prompt.model)
+            : NULL;
     return newest != NULL && request->phase == REQUEST_SENT &&
            request->exchange != NULL && request->answer == ANSWER_NONE &&
-           weights_expired(newest, request->weights, time_wall_ms(),
+           weights_expired(newest, request->weights_version, time_wall_ms(),
                            (int64_t)request->relay->settings.weights_ms);
 }
 
@@ -276,21 +280,21 @@
             log_record(LOG_WARN, "request", "weights-expired",
                        "id=%s server=%s weights=%lld waited_ms=%lld",
                        request->id, request->server->info.id,
-                       (long long)request->weights,
+                       (long long)request->weights_version,
                        (long long)(now - request->sent_ms));
             abandon_send(request);
             continue;
         }
         /* Waiting again after a send is a retry like any other. */
         if (request->server != NULL || now < request->not_before_ms ||
-            (request->sends > 0 && now < request->waits_until_ms &&
-             !retry_share_left(&relay->retries, request->service, now))) {
+            (request->sends > 0 && now < request->placement_deadline_ms &&
+             !retry_share_left(&relay->retry_shares, request->service, now))) {
             continue;
         }
-        if (request_place(request) || now < request->waits_until_ms) {
+        if (request_place(request) || now < request->placement_deadline_ms) {
             continue;
         }
-        if (request->ran == 0) {
+        if (request->possible_runs == 0) {
             request_refuse(request, "no-server", AFTER_NONE_MS);
         }
         else {
@@ -339,7 +343,7 @@
 find_workspace(const relay_config_t *config, const http_head_t *head)
 {
     static const char scheme[] = "Token ";
-    const header_t *header = find(head, HEADER_KEY);
+    const header_t *header = find(head, HEADER_ACCESS_KEY);
     char text[ACCESS_KEY_MAX + sizeof(scheme)];
     if (header == NULL || header->value.len >= sizeof(text)) {
         return NULL;
@@ -356,8 +360,8 @@
 {
     const http_head_t *head = request->head;
     const header_t *model = find(head, HEADER_MODEL);
-    const header_t *parts = find(head, HEADER_PROMPT);
-    const header_t *tokens = find(head, HEADER_TOKENS);
+    const header_t *parts = find(head, HEADER_PROMPT_PREFIX);
+    const header_t *tokens = find(head, HEADER_TOKEN_USAGE);
     if (model != NULL) {
         http_head_copy(head, model->value, request->prompt.model,
                        sizeof(request->prompt.model));
@@ -387,8 +391,8 @@
     request->head = head;
     request->body = body;
     request->config = relay_config_hold(relay->config);
-    request->came_us = time_mono_us();
-    request->came_ms = request->came_us / 1000;
+    request->received_us = time_mono_us();
+    request->received_ms = request->received_us / 1000;
     request->timer = evtimer_new(relay->base, on_timer, request);
     stream_init(&request->stream, last);
     http_head_copy(head, find(head, HEADER_REQUEST_ID)->value, request->id,
@@ -408,9 +412,9 @@
         span = deadline;
     }
     struct timeval after = {span / 1000, span % 1000 * 1000};
-    request->until_ms = request->came_ms + span;
-    request->waits_until_ms =
-        request->came_ms + request->route->target_ms / WAIT_SHARE;
+    request->deadline_ms = request->received_ms + span;
+    request->placement_deadline_ms =
+        request->received_ms + request->route->target_ms / WAIT_SHARE;
     (void)event_add(request->timer, &after);
 }
 
@@ -419,7 +423,7 @@
 check_entry(const relay_t *relay, const http_head_t *head, size_t body_len,
             const route_t **route, const workspace_entry_t **workspace)
 {
-    if (relay->config == NULL || relay_shut(relay) ||
+    if (relay->config == NULL || relay_is_closed(relay) ||
         relay->body_bytes + body_len > BODIES_MAX) {
         return 503;
     }
@@ -447,16 +451,16 @@
     int status = check_entry(relay, head, body->len, &route, &workspace);
     if (status != 0) {
         const header_t *id = find(head, HEADER_REQUEST_ID);
-        relay->meter.not_let_in++;
+        relay->meter.not_admitted++;
         log_record(
             LOG_WARN, "request", "not-let-in", "id=%.*s status=%d config=%lld",
             id != NULL ? (int)id->value.len : 1,
             id != NULL ? http_head_at(head, id->value) : "-", status,
             (long long)(relay->config != NULL ? relay->config->version : 0));
         answer_plain(caller, status,
-                     status != 503       ? 0
-                     : relay_shut(relay) ? AFTER_STOP_MS
-                                         : AFTER_START_MS);
+                     status != 503            ? 0
+                     : relay_is_closed(relay) ? AFTER_STOP_MS
+                                              : AFTER_START_MS);
         return;
     }
     request_t *request = request_new(relay, caller, head, body);
@@ -469,15 +473,16 @@
     request->engine = service != NULL && service->engine;
     if (request->engine) {
         read_prompt(request);
-        request->home = prompt_home(&request->prompt);
+        request->affinity_key = prompt_home(&request->prompt);
     }
     set_times(request);
-    quota_verdict_t quota = request_ask_quota(request);
+    quota_verdict_t quota = request_charge_quota(request);
     if (!quota.allowed) {
         refuse_with(request, 429, "quota", quota.after_ms);
         return;
     }
-    retry_share_earn(&relay->retries, request->service, request->came_ms);
+    retry_share_earn(&relay->retry_shares, request->service,
+                     request->received_ms);
     caller_serves(caller, request);
     (void)request_place(request);
 }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -72,10 +72,10 @@
         int64_t named_ms = json_integer_value(json_array_get(row, 2));
         if (model != NULL && version > 0 && named_ms > 0) {
             if (json_is_true(json_array_get(row, 3))) {
-                weights_note_bound(relay, model, version, named_ms);
+                weights_record_estimate(relay, model, version, named_ms);
             }
             else {
-                weights_note(relay, model, version, named_ms);
+                weights_record(relay, model, version, named_ms);
             }
         }
     }
@@ -87,12 +87,12 @@
     json_t *rows = json_array();
     for (size_t i = 0; i < relay->weights_count; i++) {
         const weights_t *weights = &relay->weights[i];
-        for (size_t at = 0; at < weights->named_count; at++) {
+        for (size_t at = 0; at < weights->version_count; at++) {
             (void)json_array_append_new(
                 rows, json_pack("[s,I,I,b]", weights->model,
-                                (json_int_t)weights->named[at].version,
-                                (json_int_t)weights->named[at].named_ms,
-                                weights->named[at].guessed));
+                                (json_int_t)weights->versions[at].version,
+                                (json_int_t)weights->versions[at].published_ms,
+                                weights->versions[at].estimated));
         }
     }
     return rows;
@@ -195,7 +195,7 @@
                    (long long)rollout->lease.fence,
                    (long long)rollout->lease.revision, rollout->lease.holder);
     }
-    if (rollout->relay->stopping_ms != 0) {
+    if (rollout->relay->stop_requested_ms != 0) {
         lease_leave(&rollout->lease);
     }
     if (rollout->lease_call != NULL) {
@@ -404,12 +404,12 @@
     size_t count = rollout_count(servers, weights->model, &loading);
     server_t *server;
     while (loading < rollout_limit(count) &&
-           (server = rollout_pick(servers, weights->model, weights->version,
-                                  now)) != NULL) {
+           (server = rollout_pick(servers, weights->model,
+                                  weights->newest_version, now)) != NULL) {
         job_t *job = mem_zalloc(sizeof(*job));
         job->rollout = rollout;
         job->began_ms = now;
-        job->version = weights->version;
+        job->version = weights->newest_version;
         str_copy(job->server, sizeof(job->server), server->info.id);
         str_copy(job->model, sizeof(job->model), weights->model);
         CK_LIST_INSERT_HEAD(&rollout->jobs, job, entry);
@@ -428,7 +428,7 @@
     lease_tick(rollout);
     jobs_tick(rollout, now);
     if (!relay->servers_listed || !relay->weights_listed ||
-        relay->stopping_ms != 0 ||
+        relay->stop_requested_ms != 0 ||
         !lease_held(&rollout->lease, time_boot_ms())) {
         return;
     }
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -12,20 +12,20 @@
 stream_init(stream_t *stream, const char *last)
 {
     memset(stream, 0, sizeof(*stream));
-    str_copy(stream->last, sizeof(stream->last), last);
+    str_copy(stream->last_id, sizeof(stream->last_id), last);
 }
 
 void
 stream_free(stream_t *stream)
 {
-    buf_free(&stream->part);
+    buf_free(&stream->partial);
 }
 
 /* Another server goes on: what the one before left unfinished is dropped. */
 void
 stream_restart(stream_t *stream)
 {
-    stream->part.len = 0;
+    stream->partial.len = 0;
 }
 
 /* The length of the first event in the text with the empty line that ends
@@ -81,36 +81,36 @@
 static bool
 event_is_new(const stream_t *stream, const char *id)
 {
-    return stream->last[0] == '\0' ||
-           strtoll(id, NULL, 10) > strtoll(stream->last, NULL, 10);
+    return stream->last_id[0] == '\0' ||
+           strtoll(id, NULL, 10) > strtoll(stream->last_id, NULL, 10);
 }
 
 /* Take bytes in and append the events that are whole now to out; tells how
  * many there are. */
 size_t
-stream_take(stream_t *stream, const char *data, size_t len, buf_t *out)
+stream_feed(stream_t *stream, const char *data, size_t len, buf_t *out)
 {
     size_t events = 0;
-    size_t from = stream->part.len > 2 ? stream->part.len - 2 : 0;
-    buf_add(&stream->part, data, len);
+    size_t from = stream->partial.len > 2 ? stream->partial.len - 2 : 0;
+    buf_add(&stream->partial, data, len);
     size_t event;
     size_t done = 0;
-    while ((event = event_length(stream->part.data + done,
-                                 stream->part.len - done, from)) > 0) {
+    while ((event = event_length(stream->partial.data + done,
+                                 stream->partial.len - done, from)) > 0) {
         char id[EVENT_ID_MAX];
-        const char *text = stream->part.data + done;
+        const char *text = stream->partial.data + done;
         bool named = event_id(text, event, id, sizeof(id));
         if (!named || event_is_new(stream, id)) {
             buf_add(out, text, event);
             events++;
         }
         if (named && event_is_new(stream, id)) {
-            str_copy(stream->last, sizeof(stream->last), id);
+            str_copy(stream->last_id, sizeof(stream->last_id), id);
         }
         done += event;
         from = 0;
     }
-    buf_drop(&stream->part, done);
-    stream->overflow = stream->part.len > EVENT_MAX;
+    buf_drop(&stream->partial, done);
+    stream->overflow = stream->partial.len > EVENT_MAX;
     return events;
 }
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -13,7 +13,7 @@
 #define BEGIN_PART 0.95
 
 const weights_t *
-relay_weights(const relay_t *relay, const char *model)
+relay_find_weights(const relay_t *relay, const char *model)
 {
     for (size_t i = 0; i < relay->weights_count; i++) {
         if (strcmp(relay->weights[i].model, model) == 0) {
@@ -26,7 +26,7 @@
 static weights_t *
 weights_get(relay_t *relay, const char *model)
 {
-    weights_t *weights = (weights_t *)relay_weights(relay, model);
+    weights_t *weights = (weights_t *)relay_find_weights(relay, model);
     if (weights != NULL) {
         return weights;
     }
@@ -46,27 +46,31 @@
 named_put(weights_t *weights, int64_t version, int64_t named_ms, bool guessed)
 {
     size_t at = 0;
-    while (at < weights->named_count && weights->named[at].version > version) {
+    while (at < weights->version_count &&
+           weights->versions[at].version > version) {
         at++;
     }
-    if (at < weights->named_count && weights->named[at].version == version) {
-        weights_named_t *known = &weights->named[at];
-        bool better = known->guessed != guessed ? known->guessed
-                                                : named_ms < known->named_ms;
+    if (at < weights->version_count &&
+        weights->versions[at].version == version) {
+        weights_version_t *known = &weights->versions[at];
+        bool better = known->estimated != guessed
+                          ? known->estimated
+                          : named_ms < known->published_ms;
         if (better) {
-            *known = (weights_named_t){version, named_ms, guessed};
+            *known = (weights_version_t){version, named_ms, guessed};
         }
         return;
     }
-    if (at == WEIGHTS_KEPT) {
+    if (at == WEIGHTS_VERSIONS_MAX) {
         return;
     }
-    size_t last = weights->named_count < WEIGHTS_KEPT ? weights->named_count
-                                                      : WEIGHTS_KEPT - 1;
-    memmove(&weights->named[at + 1], &weights->named[at],
-            (last - at) * sizeof(weights->named[0]));
-    weights->named[at] = (weights_named_t){version, named_ms, guessed};
-    weights->named_count = last + 1;
+    size_t last = weights->version_count < WEIGHTS_VERSIONS_MAX
+                      ? weights->version_count
+                      : WEIGHTS_VERSIONS_MAX - 1;
+    memmove(&weights->versions[at + 1], &weights->versions[at],
+            (last - at) * sizeof(weights->versions[0]));
+    weights->versions[at] = (weights_version_t){version, named_ms, guessed};
+    weights->version_count = last + 1;
 }
 
 static void
@@ -78,8 +82,8 @@
         return;
     }
     named_put(weights, version, named_ms, guessed);
-    if (version > weights->version) {
-        weights->version = version;
+    if (version > weights->newest_version) {
+        weights->newest_version = version;
         log_record(LOG_INFO, "weights", "named", "model=%s version=%lld",
                    model, (long long)version);
     }
@@ -87,8 +91,8 @@
 
 /* A version of a model was named at that time of day. */
 void
-weights_note(relay_t *relay, const char *model, int64_t version,
-             int64_t named_ms)
+weights_record(relay_t *relay, const char *model, int64_t version,
+               int64_t named_ms)
 {
     weights_put(relay, model, version, named_ms, false);
 }
@@ -97,8 +101,8 @@
  * is kept until the time is known, or a daemon that starts later would
  * estimate a later one. */
 void
-weights_note_bound(relay_t *relay, const char *model, int64_t version,
-                   int64_t named_ms)
+weights_record_estimate(relay_t *relay, const char *model, int64_t version,
+                        int64_t named_ms)
 {
     weights_put(relay, model, version, named_ms, true);
 }
@@ -127,20 +131,21 @@
 weights_expired(const weights_t *weights, int64_t version, int64_t wall_ms,
                 int64_t allowed_ms)
 {
-    return weights_older_ms(weights, version, wall_ms) >=
+    return weights_superseded_ms(weights, version, wall_ms) >=
            (int64_t)(BEGIN_PART * (double)allowed_ms);
 }
 
 /* For how long a version has been replaced: since the first newer one was
  * named; 0 if there is none. */
 int64_t
-weights_older_ms(const weights_t *weights, int64_t version, int64_t wall_ms)
+weights_superseded_ms(const weights_t *weights, int64_t version,
+                      int64_t wall_ms)
 {
     int64_t since = 0;
-    for (size_t i = 0; i < weights->named_count; i++) {
-        if (weights->named[i].version > version &&
-            (since == 0 || weights->named[i].named_ms < since)) {
-            since = weights->named[i].named_ms;
+    for (size_t i = 0; i < weights->version_count; i++) {
+        if (weights->versions[i].version > version &&
+            (since == 0 || weights->versions[i].published_ms < since)) {
+            since = weights->versions[i].published_ms;
         }
     }
     return since != 0 && wall_ms > since ? wall_ms - since : 0;
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -231,14 +231,15 @@
             route->method, route->path, ask->number,
             wire_header_name(HEADER_REQUEST_ID), id,
             wire_header_name(HEADER_DEADLINE), DEADLINE_MS,
-            wire_header_name(HEADER_KEY), ask->key);
+            wire_header_name(HEADER_ACCESS_KEY), ask->key);
     if (route->stream) {
-        buf_fmt(
-            out,
-            "%s: m1\r\n%s: 1460,80\r\n%s: aa:800,b%d:410,%" PRIx64 ":250\r\n",
-            wire_header_name(HEADER_MODEL), wire_header_name(HEADER_TOKENS),
-            wire_header_name(HEADER_PROMPT), (int)(ask->number % 7),
-            0x10000 + ask->number);
+        buf_fmt(out,
+                "%s: m1\r\n%s: 1460,80\r\n%s: aa:800,b%d:410,%" PRIx64
+                ":250\r\n",
+                wire_header_name(HEADER_MODEL),
+                wire_header_name(HEADER_TOKEN_USAGE),
+                wire_header_name(HEADER_PROMPT_PREFIX), (int)(ask->number % 7),
+                0x10000 + ask->number);
     }
     buf_str(out, has_body ? "Content-Length: 4\r\n\r\nbody" : "\r\n");
 }
@@ -343,7 +344,7 @@
     (void)field(line, wire_header_name(HEADER_REQUEST_ID), id, sizeof(id));
     (void)field(line, wire_header_name(HEADER_WORKSPACE), workspace,
                 sizeof(workspace));
-    (void)field(line, wire_header_name(HEADER_KEY), key, sizeof(key));
+    (void)field(line, wire_header_name(HEADER_ACCESS_KEY), key, sizeof(key));
     ask_t *ask = find(by_id, id);
     if (ask == NULL) {
         soak_broken(soak, "only what was asked runs", "%s", line);
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -115,7 +115,7 @@
     str_copy(entry.id, sizeof(entry.id), id);
     str_copy(entry.addr, sizeof(entry.addr), "127.0.0.1:1");
     relay->servers = servers_new();
-    relay->cache = cache_map_new(4096);
+    relay->cache_map = cache_map_new(4096);
     relay->notify_part = count_notice;
     *server = servers_put(relay->servers, &entry);
     notified = 0;
@@ -126,7 +126,7 @@
 relay_without(relay_t *relay)
 {
     servers_free(relay->servers);
-    cache_map_free(relay->cache);
+    cache_map_free(relay->cache_map);
     free(relay);
 }
 
@@ -222,11 +222,11 @@
     server_t *server;
     relay_t *relay = relay_with("a", &server);
     relay_config_t config = {0};
-    cache_follows_t *follows = cache_follows_new(relay);
+    cache_follower_t *follows = cache_follower_new(relay);
     relay->servers_listed = true;
     relay->config = &config;
-    cache_follows_tick(follows);
-    ck_assert_uint_eq(cache_follows_count(follows), 0);
+    cache_follower_tick(follows);
+    ck_assert_uint_eq(cache_follower_cache_count(follows), 0);
     free(follows);
     relay_without(relay);
 }
--- a/tests/test-cache-source.c
+++ b/tests/test-cache-source.c
@@ -60,7 +60,7 @@
 {
     const cached_part_t part = {.key = key, .prompt_tokens = 1, .tokens = 1};
     cached_parts_use(server->held, &part);
-    (void)cache_map_note_at(relay->cache, server->number, key, 1,
+    (void)cache_map_note_at(relay->cache_map, server->number, key, 1,
                             time_mono_ms());
     server_confirm_alive(server, time_mono_ms());
 }
@@ -71,7 +71,7 @@
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->servers = servers_new();
-    relay->cache = cache_map_new(64);
+    relay->cache_map = cache_map_new(64);
     server_t *gap = put_engine(relay, "1");
     server_t *whole = put_engine(relay, "2");
     server_t *other = put_engine(relay, "3");
@@ -95,7 +95,7 @@
     ck_assert_uint_eq(view.source.tokens, 900);
     ck_assert_str_eq(view.source.addr, "127.0.0.1:2");
     servers_free(relay->servers);
-    cache_map_free(relay->cache);
+    cache_map_free(relay->cache_map);
     free(relay);
 }
 END_TEST
@@ -107,7 +107,7 @@
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->servers = servers_new();
-    relay->cache = cache_map_new(64);
+    relay->cache_map = cache_map_new(64);
     server_t *older = put_engine(relay, "1");
     server_t *source = put_engine(relay, "2");
     const prefix_t prefix = {
@@ -120,7 +120,7 @@
     cache_look(relay, &prefix, older, &view);
     ck_assert(!view.found);
     servers_free(relay->servers);
-    cache_map_free(relay->cache);
+    cache_map_free(relay->cache_map);
     free(relay);
 }
 END_TEST
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -13,7 +13,7 @@
     str_copy(entry.service, sizeof(entry.service), "llm");
     str_copy(entry.addr, sizeof(entry.addr), "127.0.0.1:1");
     relay->servers = servers_new();
-    relay->cache = cache_map_new(64);
+    relay->cache_map = cache_map_new(64);
     *server = servers_put(relay->servers, &entry);
     return relay;
 }
@@ -22,8 +22,8 @@
 relay_without(relay_t *relay)
 {
     servers_free(relay->servers);
-    cache_map_free(relay->cache);
-    kv_stores_free(&relay->stores);
+    cache_map_free(relay->cache_map);
+    kv_stores_free(&relay->kv_stores);
     free(relay);
 }
 
@@ -50,7 +50,7 @@
     fact.part = 0;
     peers_apply(relay, 1, &fact);
     ck_assert(!cached_parts_has(server->held, 6));
-    ck_assert(cache_map_knows(relay->cache, 6));
+    ck_assert(cache_map_knows(relay->cache_map, 6));
     relay_without(relay);
 }
 END_TEST
@@ -68,7 +68,7 @@
     peer_fact_t load = load_of("b");
     peers_apply(relay, 1, &load);
     ck_assert(!cached_parts_has(server->held, 5));
-    ck_assert(!cache_map_knows(relay->cache, 5));
+    ck_assert(!cache_map_knows(relay->cache_map, 5));
     relay_without(relay);
 }
 END_TEST
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -55,7 +55,7 @@
     str_copy(relay->settings.dc, sizeof(relay->settings.dc), "dc-a");
     relay->rng.state = host + 1;
     relay->servers = servers_new();
-    relay->cache = cache_map_new(64);
+    relay->cache_map = cache_map_new(64);
     for (size_t i = 0; i < ENGINES; i++) {
         server_entry_t entry = {.slots = 64, .engine = true, .weights = 1};
         (void)snprintf(entry.id, sizeof(entry.id), "engine-%zu", i);
@@ -87,7 +87,7 @@
 {
     for (size_t i = 0; i < HOSTS; i++) {
         servers_free(fleet->hosts[i]->servers);
-        cache_map_free(fleet->hosts[i]->cache);
+        cache_map_free(fleet->hosts[i]->cache_map);
         free(fleet->hosts[i]);
     }
     relay_config_release(fleet->config);
@@ -117,12 +117,12 @@
     request.prompt.parts[0] = rng_next(&fleet->rng);
     request.prompt.tokens[0] = (uint32_t)tokens;
     request.prompt.prompt_tokens = (uint32_t)tokens;
-    request.home = rng_next(&fleet->rng);
-    server_t *server = request_choose(&request, now);
+    request.affinity_key = rng_next(&fleet->rng);
+    server_t *server = request_choose_server(&request, now);
     ck_assert_ptr_nonnull(server);
     const admit_ask_t ask = {
-        .wait_ms = request.wait_ms,
-        .read_ms = request.read_ms,
+        .wait_ms = request.expected_wait_ms,
+        .read_ms = request.expected_prefill_ms,
         .margin_ms = forecast_margin_ms(&request.relay->forecast),
         .target_ms = TARGET_MS,
         .left_ms = DEADLINE_MS,
@@ -138,14 +138,14 @@
     fleet->free_ms[engine] = begin + tokens / ENGINE_TOKENS_PER_MS;
     server_sent(server, tokens, now);
     ck_assert_uint_lt(fleet->count, REQUESTS_MAX);
-    fleet->placed[fleet->count++] =
-        (placed_t){.host = host,
-                   .engine = engine,
-                   .tokens = tokens,
-                   .wait_ms = begin - (double)now,
-                   .expected_ms = request.wait_ms + request.read_ms,
-                   .came_ms = now,
-                   .done_ms = fleet->free_ms[engine]};
+    fleet->placed[fleet->count++] = (placed_t){
+        .host = host,
+        .engine = engine,
+        .tokens = tokens,
+        .wait_ms = begin - (double)now,
+        .expected_ms = request.expected_wait_ms + request.expected_prefill_ms,
+        .came_ms = now,
+        .done_ms = fleet->free_ms[engine]};
 }
 
 static void
@@ -307,12 +307,12 @@
     request.prompt.count = 1;
     request.prompt.prompt_tokens = 100;
     relay->settings.weights_ms = 60000;
-    weights_note(relay, "m", 2, time_wall_ms());
+    weights_record(relay, "m", 2, time_wall_ms());
     for (size_t i = 0; i < ENGINES; i++) {
         fleet->servers[0][i]->error_share = 0.5;
     }
-    ck_assert_ptr_nonnull(request_choose(&request, 1));
-    ck_assert_double_eq(request.wait_ms, 0);
+    ck_assert_ptr_nonnull(request_choose_server(&request, 1));
+    ck_assert_double_eq(request.expected_wait_ms, 0);
     fleet_free(fleet);
 }
 END_TEST
--- a/tests/test-stream.c
+++ b/tests/test-stream.c
@@ -24,14 +24,14 @@
             size_t step = 1 + (size_t)rng_below(&rng, 9);
             step = step < sizeof(events) - 1 - at ? step
                                                   : sizeof(events) - 1 - at;
-            count += stream_take(&stream, events + at, step, &out);
+            count += stream_feed(&stream, events + at, step, &out);
             at += step;
             ck_assert(out.len == 0 || out.data[out.len - 1] == '\n');
         }
         ck_assert_uint_eq(count, 5);
         ck_assert_str_eq(buf_text(&out), events);
-        ck_assert_str_eq(stream.last, "10");
-        ck_assert_uint_eq(stream.part.len, 0);
+        ck_assert_str_eq(stream.last_id, "10");
+        ck_assert_uint_eq(stream.partial.len, 0);
         stream_free(&stream);
     }
 }
@@ -44,10 +44,10 @@
     stream_t stream;
     CLEAN_BUF buf_t out = {0};
     stream_init(&stream, "");
-    (void)stream_take(&stream, "id: 1\ndata: a\n\nid: 2\nda", 23, &out);
-    ck_assert_str_eq(stream.last, "1");
+    (void)stream_feed(&stream, "id: 1\ndata: a\n\nid: 2\nda", 23, &out);
+    ck_assert_str_eq(stream.last_id, "1");
     stream_restart(&stream);
-    (void)stream_take(&stream, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 30,
+    (void)stream_feed(&stream, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 30,
                       &out);
     ck_assert_str_eq(buf_text(&out), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     stream_free(&stream);
@@ -63,7 +63,7 @@
     memset(block, 'x', sizeof(block));
     stream_init(&stream, "");
     for (int i = 0; i < 100 && !stream.overflow; i++) {
-        (void)stream_take(&stream, block, sizeof(block), &out);
+        (void)stream_feed(&stream, block, sizeof(block), &out);
     }
     ck_assert(stream.overflow);
     stream_free(&stream);
--- a/tests/test-weights.c
+++ b/tests/test-weights.c
@@ -23,9 +23,9 @@
 {
     relay_t *relay = relay_of(false);
     weights_observe(relay, "m", 3, 100000);
-    const weights_t *weights = relay_weights(relay, "m");
-    ck_assert_int_eq(weights->version, 3);
-    ck_assert_int_ge(weights_older_ms(weights, 2, 108000 - 1300), 8000);
+    const weights_t *weights = relay_find_weights(relay, "m");
+    ck_assert_int_eq(weights->newest_version, 3);
+    ck_assert_int_ge(weights_superseded_ms(weights, 2, 108000 - 1300), 8000);
     free(relay);
 }
 END_TEST
@@ -35,11 +35,11 @@
 {
     relay_t *relay = relay_of(false);
     weights_observe(relay, "m", 3, 100000);
-    weights_note(relay, "m", 3, 99500);
-    const weights_t *weights = relay_weights(relay, "m");
-    ck_assert_int_eq(weights_older_ms(weights, 2, 101000), 1500);
+    weights_record(relay, "m", 3, 99500);
+    const weights_t *weights = relay_find_weights(relay, "m");
+    ck_assert_int_eq(weights_superseded_ms(weights, 2, 101000), 1500);
     weights_observe(relay, "m", 3, 100000);
-    ck_assert_int_eq(weights_older_ms(weights, 2, 101000), 1500);
+    ck_assert_int_eq(weights_superseded_ms(weights, 2, 101000), 1500);
     free(relay);
 }
 END_TEST
@@ -51,11 +51,11 @@
 {
     relay_t *relay = relay_of(false);
     weights_observe(relay, "m", 3, 107000);
-    weights_note_bound(relay, "m", 3, 95000);
-    const weights_t *weights = relay_weights(relay, "m");
-    ck_assert_int_eq(weights_older_ms(weights, 2, 107000), 12000);
-    weights_note(relay, "m", 3, 99900);
-    ck_assert_int_eq(weights_older_ms(weights, 2, 107000), 7100);
+    weights_record_estimate(relay, "m", 3, 95000);
+    const weights_t *weights = relay_find_weights(relay, "m");
+    ck_assert_int_eq(weights_superseded_ms(weights, 2, 107000), 12000);
+    weights_record(relay, "m", 3, 99900);
+    ck_assert_int_eq(weights_superseded_ms(weights, 2, 107000), 7100);
     free(relay);
 }
 END_TEST
@@ -64,9 +64,9 @@
 {
     relay_t *relay = relay_of(true);
     weights_observe(relay, "m", 3, 100000);
-    const weights_t *weights = relay_weights(relay, "m");
-    ck_assert_int_eq(weights_older_ms(weights, 2, 103000), 3000);
-    ck_assert_int_eq(weights_older_ms(weights, 3, 103000), 0);
+    const weights_t *weights = relay_find_weights(relay, "m");
+    ck_assert_int_eq(weights_superseded_ms(weights, 2, 103000), 3000);
+    ck_assert_int_eq(weights_superseded_ms(weights, 3, 103000), 0);
     free(relay);
 }
 END_TEST
@@ -77,14 +77,14 @@
 START_TEST(the_oldest_newer_version_counts)
 {
     relay_t *relay = relay_of(true);
-    weights_note(relay, "m", 3, 107000);
-    weights_note(relay, "m", 2, 102500);
-    weights_note(relay, "m", 2, 102000);
-    weights_note(relay, "m", 2, 109000);
-    const weights_t *weights = relay_weights(relay, "m");
-    ck_assert_int_eq(weights->version, 3);
-    ck_assert_int_eq(weights_older_ms(weights, 1, 110000), 8000);
-    ck_assert_int_eq(weights_older_ms(weights, 2, 110000), 3000);
+    weights_record(relay, "m", 3, 107000);
+    weights_record(relay, "m", 2, 102500);
+    weights_record(relay, "m", 2, 102000);
+    weights_record(relay, "m", 2, 109000);
+    const weights_t *weights = relay_find_weights(relay, "m");
+    ck_assert_int_eq(weights->newest_version, 3);
+    ck_assert_int_eq(weights_superseded_ms(weights, 1, 110000), 8000);
+    ck_assert_int_eq(weights_superseded_ms(weights, 2, 110000), 3000);
     free(relay);
 }
 END_TEST
@@ -99,7 +99,7 @@
     relay->settings.weights_ms = 10000;
     weights_observe(relay, "m1", 1, 1000);
     weights_observe(relay, "m1", 2, 20000);
-    const weights_t *weights = relay_weights(relay, "m1");
+    const weights_t *weights = relay_find_weights(relay, "m1");
     ck_assert(!weights_expired(weights, 1, 27440, 10000));
     ck_assert(!weights_expired(weights, 1, 29400, 10000));
     ck_assert(weights_expired(weights, 1, 29500, 10000));
