--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -4,31 +4,34 @@
 
 #include <string.h>
 
-/* Which server a request goes to.  Engines are weighed by the time until they
- * would have read the prompt: what waits there, and what of the prompt they
- * do not hold.  Plain services are weighed by what runs there. */
+/* Chooses the server for a request.  Engines are compared by the expected time
+ * until the prompt is prefilled: the queue there, and the part of the prompt
+ * that is not cached there.  Plain servers are compared by the requests that
+ * run there. */
 
-/* A request that waits at a server is not read at all yet. */
-#define WAITING_UNREAD_TOKENS 2000.0
-/* Time that one more request at a plain server costs, ms: while there is a
- * free slot it only matters as a tie-break, behind that it waits for one. */
-#define SLOT_FREE_MS 1.0
-#define SLOT_TAKEN_MS 20.0
-/* An error costs the caller a retry, so a server that fails half of its
- * answers is worth this many ms less. */
-#define ERROR_MS 400.0
-/* An answer on older weights is worth a fifth less to its caller; they are
- * used when the newer ones would take this much longer, ms. */
-#define OLD_WEIGHTS_MS 150.0
-/* Older weights are not used any more in this last part of the time that they
- * may be, so that a request that waits at the server still begins in time. */
-#define OLD_WEIGHTS_PART 0.8
-/* A server that has just refused is full: it costs so much more, ms, until its
- * next answers show otherwise. */
-#define FULL_MS 300.0
-/* Servers that are weighed at random for each request. */
+/* Estimated prefill of a request that is queued at a server, tokens: none of
+ * its prompt has been prefilled. */
+#define QUEUED_PREFILL_TOKENS 2000.0
+/* Cost of each request that runs at a plain server, ms: while a slot is free
+ * it is only a tie-break, otherwise the new request waits for a slot. */
+#define RUNNING_COST_MS 1.0
+#define NO_SLOT_COST_MS 20.0
+/* Cost of a server per unit of its error rate, ms: each error costs the caller
+ * a retry. */
+#define ERROR_COST_MS 400.0
+/* Cost of a server on older weights, ms: an answer on them is worth a fifth
+ * less to the caller, so they are only used if this much faster. */
+#define OLD_WEIGHTS_COST_MS 150.0
+/* Share of the time allowed for older weights during which new requests are
+ * sent to them: a request that is queued at the server must still begin
+ * within that time. */
+#define OLD_WEIGHTS_SHARE 0.8
+/* Cost of a server that has just refused a request, ms, while it is believed
+ * to be full. */
+#define FULL_COST_MS 300.0
+/* Expected number of randomly sampled servers per request. */
 #define SAMPLE_SERVERS 4
-#define CHOOSE_MAX 512
+#define CANDIDATES_MAX 512
 
 static bool
 is_tried(const request_t *request, const server_t *server)
@@ -41,22 +44,22 @@
     return false;
 }
 
-/* Whether an engine's weights may still begin an answer. */
+/* Whether a new request may be sent to an engine on its present weights. */
 static bool
-weights_allowed(const request_t *request, const server_t *server)
+are_weights_allowed(const request_t *request, const server_t *server)
 {
-    const weights_t *newest =
+    const weights_t *weights =
         relay_find_weights(request->relay, request->prompt.model);
-    if (newest == NULL || server->info.weights >= newest->newest_version) {
+    if (weights == NULL || server->info.weights >= weights->newest_version) {
         return true;
     }
-    return weights_superseded_ms(newest, server->info.weights,
+    return weights_superseded_ms(weights, server->info.weights,
                                  time_wall_ms()) <
-           (int64_t)(OLD_WEIGHTS_PART * request->relay->settings.weights_ms);
+           (int64_t)(OLD_WEIGHTS_SHARE * request->relay->settings.weights_ms);
 }
 
 static bool
-may_serve(const request_t *request, const server_t *server, int64_t now)
+can_serve(const request_t *request, const server_t *server, int64_t now)
 {
     if (strcmp(server->info.service, request->service) != 0 ||
         !server_usable(server, now) || is_tried(request, server)) {
@@ -67,15 +70,15 @@
     }
     return server->info.engine && now >= server->loading_ms &&
            strcmp(server->info.model, request->prompt.model) == 0 &&
-           weights_allowed(request, server);
+           are_weights_allowed(request, server);
 }
 
 static double
-engine_wait_ms(server_t *server, int64_t now)
+expected_engine_wait_ms(server_t *server, int64_t now)
 {
     double tokens = server->own_unread + server_others_unread(server, now);
     if (server_load_fresh(server, now)) {
-        tokens += server->load_waiting * WAITING_UNREAD_TOKENS;
+        tokens += server->load_waiting * QUEUED_PREFILL_TOKENS;
     }
     double booked = server_booked(server, now);
     tokens = booked > tokens ? booked : tokens;
@@ -84,24 +87,25 @@
 }
 
 static double
-plain_wait_ms(const server_t *server, int64_t now)
+expected_plain_wait_ms(const server_t *server, int64_t now)
 {
     int running = server_places_taken(server, now);
-    int over = running - server->info.slots + 1;
-    return running * SLOT_FREE_MS + (over > 0 ? over * SLOT_TAKEN_MS : 0);
+    int excess = running - server->info.slots + 1;
+    return running * RUNNING_COST_MS +
+           (excess > 0 ? excess * NO_SLOT_COST_MS : 0);
 }
 
-/* The levels of a request's prompt under the weights of the server that was
- * looked at last: most servers are on the same, and working them out
- * for each server anew takes a part of a daemon's processor time. */
+/* Caches the prefix levels of the prompt for one weights version.  Most
+ * servers are on the same version, and hashing the levels again for each of
+ * them would take a noticeable share of the daemon's CPU time. */
 typedef struct {
     bool known;
     int64_t weights;
     prefix_t prefix;
-} place_levels_t;
+} levels_cache_t;
 
 static const prefix_t *
-levels_for(const request_t *request, int64_t weights, place_levels_t *levels)
+get_levels(const request_t *request, int64_t weights, levels_cache_t *levels)
 {
     if (!levels->known || levels->weights != weights) {
         char salt[CS_ID_LEN + 1];
@@ -113,26 +117,25 @@
     return &levels->prefix;
 }
 
-/* What a server is worth less than another that would answer as soon, in ms.
- */
+/* Cost of a server besides its expected wait, ms: errors and old weights. */
 static double
-preference_ms(const request_t *request, const server_t *server)
+penalty_ms(const request_t *request, const server_t *server)
 {
-    double ms = server->error_share * ERROR_MS;
-    const weights_t *newest =
+    double ms = server->error_share * ERROR_COST_MS;
+    const weights_t *weights =
         request->engine
             ? relay_find_weights(request->relay, request->prompt.model)
             : NULL;
-    if (newest != NULL && server->info.weights < newest->newest_version) {
-        ms += OLD_WEIGHTS_MS;
+    if (weights != NULL && server->info.weights < weights->newest_version) {
+        ms += OLD_WEIGHTS_COST_MS;
     }
     return ms;
 }
 
-/* Fills a candidate; returns how long the request would wait there, ms. */
+/* Fills a candidate and returns the expected wait there, ms. */
 static double
 fill_candidate(const request_t *request, server_t *server, int64_t now,
-               place_levels_t *levels, candidate_t *out)
+               levels_cache_t *levels, candidate_t *out)
 {
     relay_t *relay = request->relay;
     memset(out, 0, sizeof(*out));
@@ -140,67 +143,69 @@
     out->rate = SERVER_READ_TOKENS_PER_MS * 1000 / server->slowness;
     out->running = server->own_running;
     out->same_dc = strcmp(server->info.dc, relay->settings.dc) == 0;
-    double wait = request->engine ? engine_wait_ms(server, now)
-                                  : plain_wait_ms(server, now);
-    wait += now < server->full_ms ? FULL_MS : 0;
+    double wait = request->engine ? expected_engine_wait_ms(server, now)
+                                  : expected_plain_wait_ms(server, now);
+    wait += now < server->full_ms ? FULL_COST_MS : 0;
     if (!request->engine) {
         out->rank = place_weight(0, server->info.id);
-        out->wait_ms = wait + preference_ms(request, server);
+        out->wait_ms = wait + penalty_ms(request, server);
         return wait;
     }
     cache_view_t view;
-    cache_look(relay, levels_for(request, server->info.weights, levels),
+    cache_look(relay, get_levels(request, server->info.weights, levels),
                server, &view);
     out->cached = view.found ? view.source.tokens : view.here;
     wait += cache_fetch_ms(&view);
-    /* The request's own part is read wherever it goes; what a slower server
-     * takes longer for it counts as waiting. */
+    /* The request's own part is prefilled on any server.  The extra time that
+     * a slower server needs for it counts as wait. */
     wait += (request->prompt.prompt_tokens - view.shared) *
             (server->slowness - 1) / SERVER_READ_TOKENS_PER_MS;
     out->rank = place_weight(request->affinity_key, server->info.id);
-    out->wait_ms = wait + preference_ms(request, server);
+    out->wait_ms = wait + penalty_ms(request, server);
     return wait;
 }
 
-/* The servers that may take a request. */
+/* Lists the servers that may serve a request; returns their number. */
 static size_t
-list_usable(const request_t *request, int64_t now, server_t **out)
+list_usable_servers(const request_t *request, int64_t now, server_t **out)
 {
     size_t count = 0;
     server_t *server;
     CK_LIST_FOREACH (server, &request->relay->servers->list, entry) {
-        if (count < CHOOSE_MAX && may_serve(request, server, now)) {
+        if (count < CANDIDATES_MAX && can_serve(request, server, now)) {
             out[count++] = server;
         }
     }
     return count;
 }
 
-/* Which of the usable servers are weighed: the home of the prompt, those that
- * hold what it shares, and a few at random.  What is known of a server is a
- * little old, so that all hosts see the same one idle; if all weighed all
- * servers, all would send there until the next news. */
+/* Reduces the usable servers to those that are compared: the first choice by
+ * rendezvous hashing, those that hold the shared part of the prompt, and a
+ * random sample.  Load reports are slightly stale, so all hosts see the same
+ * server idle; if each compared all servers, all would send their requests
+ * there until the next report (herd effect). */
 static size_t
-keep_weighed(const request_t *request, place_levels_t *levels,
-             server_t **servers, size_t count)
+sample_servers(const request_t *request, levels_cache_t *levels,
+               server_t **servers, size_t count)
 {
-    size_t home = 0;
-    uint64_t most = 0;
+    size_t first_choice = 0;
+    uint64_t highest_rank = 0;
     size_t kept = 0;
-    double part = (double)SAMPLE_SERVERS / (double)count;
+    double sample_share = (double)SAMPLE_SERVERS / (double)count;
     if (!request->engine || count <= SAMPLE_SERVERS) {
         return count;
     }
     for (size_t i = 0; i < count; i++) {
         uint64_t rank =
             place_weight(request->affinity_key, servers[i]->info.id);
-        home = rank > most ? i : home;
-        most = rank > most ? rank : most;
+        first_choice = rank > highest_rank ? i : first_choice;
+        highest_rank = rank > highest_rank ? rank : highest_rank;
     }
     for (size_t i = 0; i < count; i++) {
         const prefix_t *prefix =
-            levels_for(request, servers[i]->info.weights, levels);
-        if (i == home || rng_unit(&request->relay->rng) < part ||
+            get_levels(request, servers[i]->info.weights, levels);
+        if (i == first_choice ||
+            rng_unit(&request->relay->rng) < sample_share ||
             cache_holds_shared(prefix, servers[i])) {
             servers[kept++] = servers[i];
         }
@@ -208,49 +213,51 @@
     return kept;
 }
 
-/* The server for a request, or NULL if none can take it now. */
+/* Returns the server for a request, or NULL if none can take it now. */
 server_t *
 request_choose_server(request_t *request, int64_t now)
 {
     relay_t *relay = request->relay;
-    candidate_t all[CHOOSE_MAX];
-    server_t *servers[CHOOSE_MAX];
-    double waits[CHOOSE_MAX];
-    place_levels_t levels = {0};
-    size_t usable = list_usable(request, now, servers);
+    candidate_t candidates[CANDIDATES_MAX];
+    server_t *servers[CANDIDATES_MAX];
+    double waits[CANDIDATES_MAX];
+    levels_cache_t levels = {0};
+    size_t usable = list_usable_servers(request, now, servers);
     if (usable == 0) {
         return NULL;
     }
-    size_t count = keep_weighed(request, &levels, servers, usable);
+    size_t count = sample_servers(request, &levels, servers, usable);
     for (size_t i = 0; i < count; i++) {
-        waits[i] = fill_candidate(request, servers[i], now, &levels, &all[i]);
+        waits[i] =
+            fill_candidate(request, servers[i], now, &levels, &candidates[i]);
     }
-    /* Only what is shared can be held here or there. */
+    /* Only the shared part of the prompt can be cached anywhere. */
     prefix_t prefix = {.tokens = prompt_shared(&request->prompt)};
     place_ask_t ask = {.prefix = &prefix,
                        .objective = relay->settings.objective != 0
                                         ? OBJECTIVE_HITS
                                         : OBJECTIVE_TAIL,
                        .turn = relay->placement_count++};
-    size_t best = policy_find("cost")->choose(all, count, &ask);
+    size_t best = policy_find("cost")->choose(candidates, count, &ask);
     request->expected_wait_ms = waits[best];
-    uint32_t held = all[best].cached;
+    uint32_t cached_tokens = candidates[best].cached;
     uint32_t tokens = request->prompt.prompt_tokens;
     request->expected_prefill_ms =
-        (tokens > held ? tokens - held : 0) * 1000.0 / all[best].rate;
+        (tokens > cached_tokens ? tokens - cached_tokens : 0) * 1000.0 /
+        candidates[best].rate;
     log_record(
         LOG_INFO, "place", "chosen",
         "id=%s server=%s among=%zu usable=%zu wait_ms=%.0f held=%u of=%u "
         "weights=%lld config=%lld",
         request->id, servers[best]->info.id, count, usable, waits[best],
-        all[best].cached, prefix.tokens,
+        candidates[best].cached, prefix.tokens,
         (long long)servers[best]->info.weights,
         (long long)request->config->version);
     return servers[best];
 }
 
-/* Send a request that has no server yet, or refuse it; false if none can take
- * it now. */
+/* Chooses a server for a request and sends it there, or refuses the request if
+ * all are too busy; false if no server can take it now. */
 bool
 request_place(request_t *request)
 {
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -1,11 +1,12 @@
 #include "request.h"
 
-/* What a request counts of its workspace's limit: charged when it comes, given
- * back if it surely has not run, charged again if it runs once more. */
+/* Charges requests to their workspace's limit: once on arrival, again for each
+ * further attempt after one that may have run.  The charge is refunded if the
+ * request certainly has not run. */
 
-/* What the request counts of its workspace's limit. */
+/* Returns the cost of the request in the unit of its workspace's limit. */
 static double
-quota_cost(const request_t *request)
+request_cost(const request_t *request)
 {
     const workspace_entry_t *workspace = request->workspace;
     const header_t *tokens =
@@ -26,24 +27,23 @@
 }
 
 static quota_t *
-quota_of(const request_t *request)
+find_quota(const request_t *request)
 {
     return request->workspace == NULL ? NULL
                                       : quotas_find(&request->relay->quotas,
                                                     request->workspace->name);
 }
 
-/* Whether the request is within its workspace's limit, of which it then has a
- * part. */
+/* Charges the request to its workspace's limit if it fits. */
 quota_verdict_t
 request_charge_quota(request_t *request)
 {
     quotas_t *quotas = &request->relay->quotas;
-    quota_t *quota = quota_of(request);
+    quota_t *quota = find_quota(request);
     if (quota == NULL) {
         return (quota_verdict_t){.allowed = true};
     }
-    double cost = quota_cost(request);
+    double cost = request_cost(request);
     int64_t now = time_mono_ms();
     quota_verdict_t verdict = quota_ask(quotas, quota, cost, now);
     if (verdict.allowed) {
@@ -60,24 +60,25 @@
     return verdict;
 }
 
-/* A request that has run already runs once more. */
+/* Charges the request again for an attempt after one that may have run. */
 void
 request_recharge_quota(request_t *request)
 {
-    quota_t *quota = quota_of(request);
+    quota_t *quota = find_quota(request);
     if (quota != NULL && request->quota_charge > 0) {
         quota_spend(&request->relay->quotas, quota, request->quota_charge,
                     time_mono_ms());
     }
 }
 
-/* A request that has surely not run gives back what it was charged. */
+/* Refunds the charge if the request certainly has not run. */
 void
 request_refund_quota(request_t *request)
 {
-    quota_t *quota = quota_of(request);
-    bool ran = request->sends > 0 && request->outcome != METER_REFUSED;
-    if (quota != NULL && request->quota_charge > 0 && !ran) {
+    quota_t *quota = find_quota(request);
+    bool may_have_run =
+        request->sends > 0 && request->outcome != METER_REFUSED;
+    if (quota != NULL && request->quota_charge > 0 && !may_have_run) {
         quota_return(&request->relay->quotas, quota, request->quota_charge,
                      time_mono_ms());
     }
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -5,34 +5,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One send of a request to a server, and what comes back. */
+/* Sends a request to a server and handles the answer. */
 
-/* A connection that is not there after this is given up, ms: hosts of one
- * region are within a few ms, and a full queue of connections answers
- * nothing. */
-#define CONNECT_MS 250
-/* Answer that is kept until it is whole, bytes at most. */
-#define ANSWER_MAX (8u << 20)
-/* A server that refuses is believed to be full for so long, ms: a few of its
- * steps. */
+/* Connect timeout, ms: hosts of one region are a few ms apart, and a server
+ * whose listen backlog is full does not answer at all. */
+#define CONNECT_TIMEOUT_MS 250
+/* Largest answer that is buffered until it is complete, bytes. */
+#define ANSWER_BYTES_MAX (8u << 20)
+/* A server that refuses a request is believed to be full for this long, ms: a
+ * few of its batch steps. */
 #define FULL_PAUSE_MS 150
-/* A server's speed is taken from prompts that are long enough to show it and
- * had next to nothing ahead of them, ms; the first token itself takes so long
- * behind the prompt. */
-#define SPEED_WAIT_MS 30.0
-#define SPEED_READ_MS 60.0
-#define FIRST_MS 15.0
+/* A server's prefill speed is measured with prompts that take long enough to
+ * prefill and have almost nothing queued ahead of them.  The first token takes
+ * FIRST_TOKEN_MS after the prefill. */
+#define SPEED_WAIT_MS_MAX 30.0
+#define SPEED_PREFILL_MS_MIN 60.0
+#define FIRST_TOKEN_MS 15.0
 
 static void
-head_add(buf_t *out, wire_header_t header, const char *value)
+add_header(buf_t *out, wire_header_t header, const char *value)
 {
     buf_fmt(out, "%s: %s\r\n", wire_header_name(header), value);
 }
 
-/* Whether a header is named in the caller's Connection header, and so
- * concerns that connection alone. */
+/* Whether a header is listed in the caller's Connection header, which makes it
+ * hop-by-hop. */
 static bool
-is_named(const http_head_t *head, const header_t *header)
+is_hop_by_hop(const http_head_t *head, const header_t *header)
 {
     for (unsigned i = 0; i < head->count; i++) {
         if (!http_head_is(head, head->headers[i].name, "Connection")) {
@@ -51,11 +50,11 @@
     return false;
 }
 
-/* Whether a caller's header is passed on as it is. */
+/* Whether a caller's header is forwarded unchanged. */
 static bool
-is_passed_on(wire_header_t meaning, bool has_last)
+is_forwarded(wire_header_t kind, bool resumes)
 {
-    switch (meaning) {
+    switch (kind) {
         case HEADER_CONNECTION:
         case HEADER_CONTENT_LENGTH:
         case HEADER_EXPECT:
@@ -74,24 +73,24 @@
         case HEADER_KV_FROM:
             return false;
         case HEADER_LAST_EVENT:
-            return !has_last;
+            return !resumes;
         default:
             return true;
     }
 }
 
 static void
-add_callers_headers(const request_t *request, buf_t *out)
+add_caller_headers(const request_t *request, buf_t *out)
 {
     const http_head_t *head = request->head;
-    bool has_last = request->stream.last_id[0] != '\0';
-    bool named = http_head_find(head, "Connection") != NULL;
+    bool resumes = request->stream.last_id[0] != '\0';
+    bool has_connection = http_head_find(head, "Connection") != NULL;
     for (unsigned i = 0; i < head->count; i++) {
         const header_t *header = &head->headers[i];
-        wire_header_t meaning = wire_header_find(
-            http_head_at(head, header->name), header->name.len);
-        if (!is_passed_on(meaning, has_last) ||
-            (named && is_named(head, header))) {
+        wire_header_t kind = wire_header_find(http_head_at(head, header->name),
+                                              header->name.len);
+        if (!is_forwarded(kind, resumes) ||
+            (has_connection && is_hop_by_hop(head, header))) {
             continue;
         }
         buf_add(out, http_head_at(head, header->name), header->name.len);
@@ -99,13 +98,13 @@
         buf_add(out, http_head_at(head, header->value), header->value.len);
         buf_str(out, "\r\n");
     }
-    if (has_last) {
-        head_add(out, HEADER_LAST_EVENT, request->stream.last_id);
+    if (resumes) {
+        add_header(out, HEADER_LAST_EVENT, request->stream.last_id);
     }
 }
 
-/* Where the server can fetch parts that it lacks, and whether it is to keep
- * what it reads in the kv store. */
+/* Tells an engine where to fetch parts that it has not cached, and whether to
+ * save the shared parts to the kv store. */
 static void
 add_cache_headers(request_t *request, const server_t *server, buf_t *out)
 {
@@ -119,16 +118,17 @@
     request->saves_to_kv_store = false;
     const char *from = cache_fetch_from(&view, store);
     if (from != NULL) {
-        head_add(out, HEADER_CACHE_FETCH, from);
+        add_header(out, HEADER_CACHE_FETCH, from);
     }
     if (store != NULL && !cache_kept(relay, &request->prefix, number) &&
         cache_save(relay, &request->prefix, server, number)) {
-        head_add(out, HEADER_CACHE_SAVE, store->addr);
+        add_header(out, HEADER_CACHE_SAVE, store->addr);
         request->saves_to_kv_store = true;
     }
 }
 
-/* The name under which servers on these weights keep parts of the prompt. */
+/* Writes the cache salt of the request's prompt for a weights version.
+ * Requests of an isolated workspace get a salt of their own. */
 void
 request_cache_salt(const request_t *request, int64_t weights,
                    char out[CS_ID_LEN + 1])
@@ -138,8 +138,8 @@
                 isolated ? request->workspace->name : "", out);
 }
 
-/* What only engines get: the name of the cache, the weights that it belongs
- * to, how urgent the request is among those that wait there. */
+/* Adds the headers for engines alone: cache salt, expected weights version,
+ * cache sources and priority in the engine's queue. */
 static void
 add_engine_headers(request_t *request, const server_t *server, buf_t *out)
 {
@@ -147,10 +147,10 @@
     char salt[CS_ID_LEN + 1];
     request_cache_salt(request, request->weights_version, salt);
     prompt_levels(&request->prompt, salt, &request->prefix);
-    head_add(out, HEADER_CACHE_SALT, salt);
+    add_header(out, HEADER_CACHE_SALT, salt);
     (void)snprintf(text, sizeof(text), "%lld",
                    (long long)request->weights_version);
-    head_add(out, HEADER_EXPECT_VERSION, text);
+    add_header(out, HEADER_EXPECT_VERSION, text);
     add_cache_headers(request, server, out);
     int priority = request->route->priority;
     if (request->workspace != NULL && request->workspace->has_priority) {
@@ -158,7 +158,7 @@
     }
     priority = priority < 0 ? 0 : priority > 9 ? 9 : priority;
     (void)snprintf(text, sizeof(text), "%d", priority);
-    head_add(out, HEADER_PRIORITY, text);
+    add_header(out, HEADER_PRIORITY, text);
 }
 
 static void
@@ -169,13 +169,13 @@
     buf_fmt(out, "%s ", http_head_method(head));
     buf_add(out, http_head_at(head, head->target), head->target.len);
     buf_str(out, " HTTP/1.1\r\n");
-    add_callers_headers(request, out);
+    add_caller_headers(request, out);
     (void)snprintf(text, sizeof(text), "%lld",
                    (long long)(request->deadline_ms - request->sent_ms));
-    head_add(out, HEADER_DEADLINE, text);
-    head_add(out, HEADER_EXPECT_SERVER, server->info.id);
+    add_header(out, HEADER_DEADLINE, text);
+    add_header(out, HEADER_EXPECT_SERVER, server->info.id);
     if (request->workspace != NULL) {
-        head_add(out, HEADER_WORKSPACE, request->workspace->name);
+        add_header(out, HEADER_WORKSPACE, request->workspace->name);
     }
     if (request->engine) {
         add_engine_headers(request, server, out);
@@ -190,7 +190,7 @@
 /* ---- the answer ---- */
 
 static bool
-is_other_answer(const request_t *request, const http_head_t *head)
+is_answer_to_other(const request_t *request, const http_head_t *head)
 {
     const header_t *id =
         http_head_find(head, wire_header_name(HEADER_REQUEST_ID));
@@ -200,7 +200,7 @@
 }
 
 static void
-note_load(const relay_t *relay, server_t *server, const http_head_t *head)
+record_load(const relay_t *relay, server_t *server, const http_head_t *head)
 {
     const header_t *load = http_head_find(head, wire_header_name(HEADER_LOAD));
     char text[64];
@@ -220,7 +220,7 @@
 }
 
 static void
-keep_headers(request_t *request, const http_head_t *head)
+copy_answer_headers(request_t *request, const http_head_t *head)
 {
     request->headers.len = 0;
     for (unsigned i = 0; i < head->count; i++) {
@@ -243,9 +243,9 @@
     }
 }
 
-/* What an answer is, by its head.  One without the server's signature or the
- * request's id, or with an encoding nobody asked for, is not the server's own
- * and is never passed on. */
+/* Classifies an answer by its head.  An answer without the server's signature
+ * or the request's id, or with an unrequested content encoding, does not come
+ * from the server itself and is never passed on. */
 static answer_class_t
 classify(const request_t *request, const http_head_t *head)
 {
@@ -253,9 +253,9 @@
         http_head_find(head, wire_header_name(HEADER_REQUEST_ID)) != NULL;
     bool is_signed =
         http_head_find(head, wire_header_name(HEADER_SIGNATURE)) != NULL;
-    bool not_run =
+    bool not_executed =
         http_head_find(head, wire_header_name(HEADER_NOT_EXECUTED)) != NULL;
-    if (not_run || head->status == 421) {
+    if (not_executed || head->status == 421) {
         return ANSWER_REFUSED;
     }
     if (!has_id || !is_signed ||
@@ -264,8 +264,8 @@
         return ANSWER_INVALID;
     }
     if (head->status == 429 || head->status == 503 || head->status == 408) {
-        /* Such a status would promise the caller that nothing ran, and the
-         * server does not say so. */
+        /* The caller would take such a status to mean that the request has
+         * not run, but the server has not stated that. */
         return ANSWER_INVALID;
     }
     if (head->status >= 500) {
@@ -279,7 +279,7 @@
 }
 
 static void
-note_refusal(request_t *request, const http_head_t *head)
+record_refusal(request_t *request, const http_head_t *head)
 {
     server_t *server = request->server;
     int64_t now = time_mono_ms();
@@ -290,7 +290,8 @@
     const header_t *id =
         http_head_find(head, wire_header_name(HEADER_SERVER_ID));
     if (id != NULL && !http_head_is(head, id->value, server->info.id)) {
-        /* Another server has the address; its own entry tells where. */
+        /* Another server uses this address now and has an entry of its own.
+         */
         server->misplaced = true;
         exchanges_drop(request->relay->exchanges, server->info.addr);
         return;
@@ -303,24 +304,24 @@
 on_head(void *arg, const http_head_t *head)
 {
     request_t *request = arg;
-    if (is_other_answer(request, head)) {
+    if (is_answer_to_other(request, head)) {
         log_record(LOG_WARN, "request", "stray-answer", "id=%s server=%s",
                    request->id, request->server->info.id);
         return HEAD_SKIP;
     }
     server_note_answer(request->server, time_mono_ms());
-    note_load(request->relay, request->server, head);
+    record_load(request->relay, request->server, head);
     request->answer = classify(request, head);
     request->status = head->status;
     switch (request->answer) {
         case ANSWER_REFUSED:
-            note_refusal(request, head);
+            record_refusal(request, head);
             break;
         case ANSWER_BUFFER:
         case ANSWER_FAILED:
         case ANSWER_STREAM:
             if (request->phase != REQUEST_STREAMING) {
-                keep_headers(request, head);
+                copy_answer_headers(request, head);
             }
             break;
         case ANSWER_NONE:
@@ -330,9 +331,9 @@
     return HEAD_TAKE;
 }
 
-/* The server had the kv store take what the prompt shares. */
+/* The server has saved the shared parts of the prompt to the kv store. */
 static void
-note_saved(request_t *request)
+record_saved_parts(request_t *request)
 {
     uint16_t number;
     if (cache_store_for(request->relay, &request->prefix, &number) != NULL) {
@@ -340,9 +341,9 @@
     }
 }
 
-/* Learns from how late the first answer is. */
+/* Updates the forecast with the observed time to the first answer. */
 static void
-note_forecast(request_t *request, int64_t now)
+record_forecast(request_t *request, int64_t now)
 {
     if (request->engine) {
         forecast_note(&request->relay->forecast,
@@ -351,8 +352,8 @@
     }
 }
 
-/* The first event or the whole answer is there: the prompt is read, and the
- * server holds its parts. */
+/* The first event or the whole answer was received: the prompt is prefilled
+ * and the server has cached its parts. */
 void
 request_record_first_answer(request_t *request)
 {
@@ -361,15 +362,15 @@
     if (request->first_answer_ms == 0) {
         request->first_answer_ms = now;
     }
-    /* What read_ms holds was worked out with the slowness known then. */
-    if (request->engine && request->expected_wait_ms < SPEED_WAIT_MS &&
-        request->expected_prefill_ms > SPEED_READ_MS) {
+    /* expected_prefill_ms includes the slowness known when it was sent. */
+    if (request->engine && request->expected_wait_ms < SPEED_WAIT_MS_MAX &&
+        request->expected_prefill_ms > SPEED_PREFILL_MS_MIN) {
         server_speed(server,
                      request->expected_prefill_ms / request->server_slowness,
-                     (double)(now - request->sent_ms) - FIRST_MS);
+                     (double)(now - request->sent_ms) - FIRST_TOKEN_MS);
     }
     request->answer_started_ms = now;
-    note_forecast(request, now);
+    record_forecast(request, now);
     server_read(server, request->prefill_tokens);
     request->prefill_tokens = 0;
     if (request->engine) {
@@ -378,18 +379,18 @@
             server, request->prefix.tokens - prompt_shared(&request->prompt));
     }
     if (request->saves_to_kv_store) {
-        note_saved(request);
+        record_saved_parts(request);
     }
 }
 
 static void
-pass_events(request_t *request, const char *data, size_t len)
+forward_events(request_t *request, const char *data, size_t len)
 {
     CLEAN_BUF buf_t events = {0};
     size_t count = stream_feed(&request->stream, data, len, &events);
     if (request->stream.overflow) {
-        /* No server of ours makes such an event: nothing more is kept of it,
-         * and the answer ends as one that cannot be passed on. */
+        /* No valid event is that long.  Drop it and treat the rest of the
+         * answer as invalid. */
         stream_restart(&request->stream);
         request->answer = ANSWER_INVALID;
     }
@@ -414,11 +415,11 @@
     server_note_answer(request->server, time_mono_ms());
     switch (request->answer) {
         case ANSWER_STREAM:
-            pass_events(request, data, len);
+            forward_events(request, data, len);
             return;
         case ANSWER_BUFFER:
         case ANSWER_FAILED:
-            if (request->answer_body.len + len > ANSWER_MAX) {
+            if (request->answer_body.len + len > ANSWER_BYTES_MAX) {
                 request->answer = ANSWER_INVALID;
                 return;
             }
@@ -431,7 +432,7 @@
     }
 }
 
-/* The send is over: the server's counts no longer hold it. */
+/* Ends the current attempt: removes the request from the server's counts. */
 void
 request_release_server(request_t *request)
 {
@@ -444,10 +445,12 @@
     request->server = NULL;
 }
 
-/* Give the caller the whole answer that was read.  The request is gone before
- * the answer is written, since the caller's next one may begin at once. */
+/* Answers the caller with the buffered answer.  The request is freed first,
+ * since the caller's next request may start as soon as this one is answered.
+ */
 void
-request_deliver(request_t *request, meter_outcome_t outcome, const char *word)
+request_deliver(request_t *request, meter_outcome_t outcome,
+                const char *outcome_name)
 {
     caller_t *caller = request->caller;
     buf_t headers = request->headers;
@@ -456,7 +459,7 @@
     memset(&request->headers, 0, sizeof(headers));
     memset(&request->answer_body, 0, sizeof(body));
     request->outcome = outcome;
-    request_end(request, word);
+    request_end(request, outcome_name);
     caller_answer(caller, status, &headers, buf_text(&body), body.len);
     buf_free(&headers);
     buf_free(&body);
@@ -474,9 +477,9 @@
     caller_stream_end(caller);
 }
 
-/* A whole answer was read. */
+/* A complete answer was read. */
 static void
-on_whole(request_t *request)
+on_complete_answer(request_t *request)
 {
     server_t *server = request->server;
     switch (request->answer) {
@@ -487,7 +490,7 @@
             return;
         case ANSWER_STREAM:
             if (request->stream.partial.len > 0) {
-                break; /* it ends within an event */
+                break; /* it ends in the middle of an event */
             }
             server_good(server);
             server_held_slot(
@@ -518,7 +521,7 @@
     request->exchange = NULL;
     switch (end) {
         case EXCHANGE_WHOLE:
-            on_whole(request);
+            on_complete_answer(request);
             return;
         case EXCHANGE_UNSENT:
             server_fault(request->server, SERVER_FAULT_CONNECT,
@@ -531,7 +534,7 @@
         case EXCHANGE_TIMEOUT:
             break;
     }
-    /* A refusal whose body is cut has still been given. */
+    /* A refusal counts even if its body was cut off. */
     if (request->answer == ANSWER_REFUSED) {
         request_attempt_failed(request, FATE_REFUSED);
         return;
@@ -544,21 +547,21 @@
 static const exchange_hooks_t hooks = {on_head, on_body, on_end, NULL};
 
 static void
-note_tried(request_t *request, const server_t *server)
+record_tried(request_t *request, const server_t *server)
 {
     if (request->tried_count < REQUEST_TRIED_MAX) {
         request->tried[request->tried_count++] = server->number;
     }
 }
 
-/* Send a request to a server. */
+/* Starts an attempt at a server. */
 void
 request_send(request_t *request, server_t *server)
 {
     relay_t *relay = request->relay;
     CLEAN_BUF buf_t head = {0};
-    exchange_hooks_t own = hooks;
-    own.arg = request;
+    exchange_hooks_t request_hooks = hooks;
+    request_hooks.arg = request;
     request->sent_ms = time_mono_ms();
     request->server = server;
     request->server_slowness = server->slowness;
@@ -580,7 +583,7 @@
     if (request->cached_tokens < request->prefix.tokens) {
         cache_note_pending(relay, &request->prefix, server->number);
     }
-    note_tried(request, server);
+    record_tried(request, server);
     if (request->possible_runs > 0) {
         request_recharge_quota(request);
     }
@@ -596,8 +599,8 @@
                           .body = request->body->data,
                           .body_len = request->body->len,
                           .bodiless = request->head->method == HTTP_HEAD,
-                          .connect_ms = CONNECT_MS};
-    request->exchange = exchange_start(relay->exchanges, &ask, &own);
+                          .connect_ms = CONNECT_TIMEOUT_MS};
+    request->exchange = exchange_start(relay->exchanges, &ask, &request_hooks);
     if (request->sends == 1) {
         request->overhead_us = time_mono_us() - request->received_us;
     }
