--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -1,37 +1,38 @@
 #include "object-cache.h"
 #include "relay.h"
 
-/* The three doors of a relay: callers, the balancer's question, metrics. */
+/* The three listeners of a relay: callers, readiness checks of the load
+ * balancer, metrics and other daemons. */
 
-/* In force for callers until a configuration says otherwise. */
+/* Limits for callers until a configuration was read. */
 #define HEAD_BYTES_DEFAULT 16384
 #define BODY_BYTES_DEFAULT 4194304
-#define HEAD_MS_DEFAULT 3000
-#define IDLE_MS_DEFAULT 15000
-/* What the balancer and whoever gathers metrics may send; the balancer asks
- * every second or so, and a connection that is silent for longer is not its.
- */
-#define QUESTION_HEAD_BYTES 8192
-#define QUESTION_HEAD_MS 3000
-#define QUESTION_IDLE_MS 30000
+#define HEAD_TIMEOUT_MS_DEFAULT 3000
+#define IDLE_TIMEOUT_MS_DEFAULT 15000
+/* Limits for the load balancer, metrics collectors and other daemons.  The
+ * load balancer checks about every second, so a connection that is idle for
+ * longer than this is not in use. */
+#define INTERNAL_HEAD_BYTES_MAX 8192
+#define INTERNAL_HEAD_TIMEOUT_MS 3000
+#define INTERNAL_IDLE_TIMEOUT_MS 30000
 
 static edge_limits_t
-callers_limits(void *arg)
+caller_limits(void *arg)
 {
     const relay_t *relay = arg;
     if (relay->config != NULL) {
         return relay->config->limits;
     }
     return (edge_limits_t){HEAD_BYTES_DEFAULT, BODY_BYTES_DEFAULT,
-                           HEAD_MS_DEFAULT, IDLE_MS_DEFAULT};
+                           HEAD_TIMEOUT_MS_DEFAULT, IDLE_TIMEOUT_MS_DEFAULT};
 }
 
 static edge_limits_t
-question_limits(void *arg)
+internal_limits(void *arg)
 {
     (void)arg;
-    return (edge_limits_t){QUESTION_HEAD_BYTES, 0, QUESTION_HEAD_MS,
-                           QUESTION_IDLE_MS};
+    return (edge_limits_t){INTERNAL_HEAD_BYTES_MAX, 0,
+                           INTERNAL_HEAD_TIMEOUT_MS, INTERNAL_IDLE_TIMEOUT_MS};
 }
 
 static void
@@ -42,19 +43,20 @@
 }
 
 static void
-on_caller_left(void *owner)
+on_caller_disconnected(void *owner)
 {
     request_caller_disconnected(owner);
 }
 
-/* The balancer is answered at once, so it does not leave before the answer. */
+/* A readiness check is answered at once, so the load balancer cannot
+ * disconnect before the answer. */
 static void
-on_question_left(void *owner)
+on_ready_disconnected(void *owner)
 {
     (void)owner;
 }
 
-/* The balancer's question is answered by the status alone. */
+/* Answers a readiness check by the status alone. */
 static void
 on_ready_request(void *arg, caller_t *caller, const http_head_t *head,
                  buf_t *body)
@@ -64,8 +66,8 @@
     caller_answer(caller, relay_is_ready(arg) ? 200 : 503, NULL, "", 0);
 }
 
-/* Whoever gathers metrics asks by any path but those of what other daemons
- * ask for. */
+/* Answers other daemons' requests for cached objects, and any other path with
+ * the metrics. */
 static void
 on_metrics_request(void *arg, caller_t *caller, const http_head_t *head,
                    buf_t *body)
@@ -85,32 +87,33 @@
 }
 
 static http_door_t *
-open_at(relay_t *relay, const char *addr, const door_hooks_t *hooks,
-        err_t *err)
+open_listener(relay_t *relay, const char *addr, const door_hooks_t *hooks,
+              err_t *err)
 {
     door_ask_t ask = {.fd = http_listen(addr, err), .hooks = *hooks};
     ask.hooks.arg = relay;
     return ask.fd < 0 ? NULL : http_door_open(relay->base, &ask);
 }
 
-/* Listens for callers, the balancer, other daemons and metrics. */
+/* Opens the listeners for callers, readiness checks and metrics. */
 int
 listeners_open(relay_t *relay, err_t *err)
 {
-    static const door_hooks_t callers = {.limits = callers_limits,
+    static const door_hooks_t callers = {.limits = caller_limits,
                                          .on_request = on_caller_request,
-                                         .on_left = on_caller_left};
-    static const door_hooks_t ready = {.limits = question_limits,
+                                         .on_left = on_caller_disconnected};
+    static const door_hooks_t ready = {.limits = internal_limits,
                                        .on_request = on_ready_request,
-                                       .on_left = on_question_left};
-    static const door_hooks_t metrics = {.limits = question_limits,
+                                       .on_left = on_ready_disconnected};
+    static const door_hooks_t metrics = {.limits = internal_limits,
                                          .on_request = on_metrics_request,
                                          .on_left = object_cache_caller_left};
-    relay->ready_listener = open_at(relay, relay->settings.ready, &ready, err);
+    relay->ready_listener =
+        open_listener(relay, relay->settings.ready, &ready, err);
     relay->metrics_listener =
-        open_at(relay, relay->settings.metrics, &metrics, err);
+        open_listener(relay, relay->settings.metrics, &metrics, err);
     relay->caller_listener =
-        open_at(relay, relay->settings.http, &callers, err);
+        open_listener(relay, relay->settings.http, &callers, err);
     return relay->caller_listener != NULL && relay->ready_listener != NULL &&
                    relay->metrics_listener != NULL
                ? 0
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -4,21 +4,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Wiring: the loop, its signals, its tick, the order of a stop. */
+/* The event loop of the router, its signals, its tick and its shutdown. */
 
-/* Steps of what no event brings about: waiting requests, leases, sweeps. */
+/* Interval of the work that no event triggers: waiting requests, leases,
+ * sweeps of idle connections. */
 #define TICK_MS 100
 #define SWEEP_TICKS 5
-/* Levels that the cache map holds: 9 servers hold about 20 prompts of three
- * levels each, 112 of them 6,700 levels; 104 B each. */
-#define CACHE_LEVELS 16384
-/* After a stop's signal the door stays open until the balancer has left: it
- * asks every second and believes two misses, ms. */
-#define DOOR_MS 2600
-/* The process ends this long before it would be killed, ms. */
-#define END_MARGIN_MS 700
+/* Capacity of the cache map: with about 20 prompts of three levels on each
+ * server, 9 servers hold 540 levels and 112 servers 6,700.  A level takes 104
+ * bytes. */
+#define CACHE_MAP_LEVELS_MAX 16384
+/* After a stop signal callers are accepted until the load balancer has removed
+ * this host, ms: it checks readiness every second and acts on the second
+ * failure. */
+#define BALANCER_DRAIN_MS 2600
+/* The process exits this long before it would be killed, ms. */
+#define SHUTDOWN_MARGIN_MS 700
 
-/* Whether the balancer may send callers here. */
+/* Whether the load balancer may send callers here. */
 bool
 relay_is_ready(const relay_t *relay)
 {
@@ -26,19 +29,19 @@
            relay->servers_listed && relay->weights_listed;
 }
 
-/* Whether no request is taken in any more: a stop was asked for long enough
- * ago that the balancer has left, and what begins now might not end in time.
- */
+/* Whether new requests are rejected: the load balancer has removed this host
+ * since the stop was requested, and a request that started now might not end
+ * in time. */
 bool
 relay_is_closed(const relay_t *relay)
 {
     return relay->stop_requested_ms != 0 &&
-           time_mono_ms() - relay->stop_requested_ms >= DOOR_MS;
+           time_mono_ms() - relay->stop_requested_ms >= BALANCER_DRAIN_MS;
 }
 
-/* What is known of one server, as gauges. */
+/* Writes the metrics of one server. */
 static void
-server_metrics(const server_t *server, int64_t now, buf_t *out)
+write_server_metrics(const server_t *server, int64_t now, buf_t *out)
 {
     buf_fmt(out,
             "celeryspool_server{server=\"%s\",service=\"%s\",weights=\"%lld\","
@@ -48,9 +51,9 @@
             server->own_running);
 }
 
-/* What this daemon knows of the workspaces' limits. */
+/* Writes the metrics of the workspaces' limits. */
 static void
-quota_metrics(const quotas_t *quotas, buf_t *out)
+write_quota_metrics(const quotas_t *quotas, buf_t *out)
 {
     meter_write_value(out, "quota_hosts", (double)quotas->host_count + 1);
     meter_write_value(out, "quota_hosts_in_touch",
@@ -69,7 +72,7 @@
     }
 }
 
-/* Counters, histograms and what this daemon believes, as text. */
+/* Writes all metrics as text. */
 void
 relay_write_metrics(const relay_t *relay, buf_t *out)
 {
@@ -102,24 +105,26 @@
     meter_write_value(out, "log_lines_left_out_total",
                       (double)log_left_out_total());
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        server_metrics(server, now, out);
+        write_server_metrics(server, now, out);
     }
-    quota_metrics(&relay->quotas, out);
+    write_quota_metrics(&relay->quotas, out);
 }
 
 static void
-stop_step(relay_t *relay)
+shutdown_step(relay_t *relay)
 {
-    int64_t since = time_mono_ms() - relay->stop_requested_ms;
-    int64_t last = (int64_t)(relay->settings.stop_s * 1000) - END_MARGIN_MS;
-    if (relay_is_closed(relay) || since >= last) {
+    int64_t elapsed_ms = time_mono_ms() - relay->stop_requested_ms;
+    int64_t grace_ms =
+        (int64_t)(relay->settings.stop_s * 1000) - SHUTDOWN_MARGIN_MS;
+    if (relay_is_closed(relay) || elapsed_ms >= grace_ms) {
         http_door_shut(relay->caller_listener);
     }
     size_t callers = http_door_callers(relay->caller_listener);
-    if ((since >= DOOR_MS && callers == 0) || since >= last) {
+    if ((elapsed_ms >= BALANCER_DRAIN_MS && callers == 0) ||
+        elapsed_ms >= grace_ms) {
         log_record(LOG_INFO, "daemon", "stopped",
                    "after_ms=%lld requests_left=%zu callers_left=%zu",
-                   (long long)since, relay->request_count, callers);
+                   (long long)elapsed_ms, relay->request_count, callers);
         (void)event_base_loopbreak(relay->base);
     }
 }
@@ -139,7 +144,7 @@
     cache_follower_tick(relay->cache_follower);
     peers_tick(relay->peers);
     if (relay->stop_requested_ms != 0) {
-        stop_step(relay);
+        shutdown_step(relay);
     }
     log_flush();
 }
@@ -160,8 +165,8 @@
                http_door_callers(relay->caller_listener));
 }
 
-/* The settings may have changed.  What may change while a process runs is
- * taken; an unreadable file changes nothing. */
+/* Reads the settings file again and applies those settings that may change at
+ * run time.  A file that cannot be read changes nothing. */
 static void
 on_reload(evutil_socket_t number, short what, void *arg)
 {
@@ -186,13 +191,13 @@
 static int
 relay_open(relay_t *relay, err_t *err)
 {
-    static const struct timeval step = {0, TICK_MS * 1000};
-    struct event_config *config = event_config_new();
-    (void)event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
-    relay->base = event_base_new_with_config(config);
-    event_config_free(config);
+    static const struct timeval interval = {0, TICK_MS * 1000};
+    struct event_config *base_config = event_config_new();
+    (void)event_config_set_flag(base_config, EVENT_BASE_FLAG_NOLOCK);
+    relay->base = event_base_new_with_config(base_config);
+    event_config_free(base_config);
     if (relay->base == NULL) {
-        return err_set(err, ERR_HTTP, 1, "no event loop can be had");
+        return err_set(err, ERR_HTTP, 1, "cannot create an event loop");
     }
     relay->exchanges = exchanges_new(relay->base);
     if (listeners_open(relay, err) != 0) {
@@ -203,7 +208,7 @@
         return -1;
     }
     relay->tick_timer = event_new(relay->base, -1, EV_PERSIST, on_tick, relay);
-    (void)event_add(relay->tick_timer, &step);
+    (void)event_add(relay->tick_timer, &interval);
     relay->signals[0] = evsignal_new(relay->base, SIGTERM, on_stop, relay);
     relay->signals[1] = evsignal_new(relay->base, SIGINT, on_stop, relay);
     relay->signals[2] = evsignal_new(relay->base, SIGHUP, on_reload, relay);
@@ -214,16 +219,17 @@
 }
 
 static void
-relay_init(relay_t *relay, const settings_t *settings, const char *path)
+relay_init(relay_t *relay, const settings_t *settings,
+           const char *settings_path)
 {
     relay->settings = *settings;
-    relay->settings_path = path;
+    relay->settings_path = settings_path;
     relay->rng.state = (uint64_t)time_mono_us() ^
                        str_hash(settings->name, (uint64_t)time_wall_ms());
     meter_init(&relay->meter);
     CK_LIST_INIT(&relay->requests);
     relay->servers = servers_new();
-    relay->cache_map = cache_map_new(CACHE_LEVELS);
+    relay->cache_map = cache_map_new(CACHE_MAP_LEVELS_MAX);
     const quota_bounds_t bounds = {.window_s = settings->quota_window_s,
                                    .overage = settings->quota_overage,
                                    .slack = settings->quota_slack};
@@ -233,12 +239,12 @@
                       (int64_t)(settings->retry_window_s * 1000));
 }
 
-/* Run until a signal ends it. */
+/* Runs the router until a signal stops it. */
 int
-relay_run(const settings_t *settings, const char *path, err_t *err)
+relay_run(const settings_t *settings, const char *settings_path, err_t *err)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
-    relay_init(relay, settings, path);
+    relay_init(relay, settings, settings_path);
     if (relay_open(relay, err) != 0) {
         free(relay);
         return -1;
@@ -251,6 +257,6 @@
     relay->cache_follower = cache_follower_new(relay);
     (void)event_base_dispatch(relay->base);
     log_flush();
-    /* What is left belongs to the process, which ends now. */
+    /* The process exits now, so nothing is freed. */
     return 0;
 }
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -3,16 +3,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Longest event, bytes: far over what a model's step makes, far under what a
- * broken server could fill a host's memory with. */
-#define EVENT_MAX (256 * 1024)
+/* Longest event, bytes: far more than one step of a model produces, far less
+ * than what would exhaust a host's memory. */
+#define EVENT_BYTES_MAX (256 * 1024)
 
-/* A stream whose caller has the events up to this id; empty for none. */
+/* Starts a stream whose caller has received the events up to this id; empty
+ * for none. */
 void
-stream_init(stream_t *stream, const char *last)
+stream_init(stream_t *stream, const char *last_id)
 {
     memset(stream, 0, sizeof(*stream));
-    str_copy(stream->last_id, sizeof(stream->last_id), last);
+    str_copy(stream->last_id, sizeof(stream->last_id), last_id);
 }
 
 void
@@ -21,17 +22,18 @@
     buf_free(&stream->partial);
 }
 
-/* Another server goes on: what the one before left unfinished is dropped. */
+/* Continues with the answer of another attempt: drops the incomplete event of
+ * the previous one. */
 void
 stream_restart(stream_t *stream)
 {
     stream->partial.len = 0;
 }
 
-/* The length of the first event in the text with the empty line that ends
- * it, or 0. */
+/* Returns the length of the first event in the text, including the empty line
+ * that ends it, or 0 if it is incomplete. */
 static size_t
-event_length(const char *text, size_t len, size_t from)
+find_event_length(const char *text, size_t len, size_t from)
 {
     for (size_t i = from; i + 1 < len; i++) {
         if (text[i] != '\n') {
@@ -47,18 +49,18 @@
     return 0;
 }
 
-/* Copy the value of an event's id line, if it has one. */
+/* Copies the value of an event's id line; false if it has none. */
 static bool
-event_id(const char *text, size_t len, char *out, size_t size)
+read_event_id(const char *text, size_t len, char *out, size_t size)
 {
-    const char *at = text;
+    const char *line = text;
     const char *end = text + len;
-    while (at < end) {
-        const char *line_end = memchr(at, '\n', (size_t)(end - at));
-        size_t line = (size_t)((line_end != NULL ? line_end : end) - at);
-        if (line > 3 && memcmp(at, "id:", 3) == 0) {
-            const char *value = at + 3;
-            size_t value_len = line - 3;
+    while (line < end) {
+        const char *line_end = memchr(line, '\n', (size_t)(end - line));
+        size_t line_len = (size_t)((line_end != NULL ? line_end : end) - line);
+        if (line_len > 3 && memcmp(line, "id:", 3) == 0) {
+            const char *value = line + 3;
+            size_t value_len = line_len - 3;
             while (value_len > 0 && *value == ' ') {
                 value++;
                 value_len--;
@@ -71,46 +73,47 @@
             out[value_len] = '\0';
             return true;
         }
-        at += line + 1;
+        line += line_len + 1;
     }
     return false;
 }
 
-/* Whether an event comes behind the last one.  A server that goes on for
- * another may begin too early; what the caller has is not sent again. */
+/* Whether an event follows the last one.  A server that resumes a stream may
+ * start too early; events that the caller already has are not sent again. */
 static bool
-event_is_new(const stream_t *stream, const char *id)
+is_new_event(const stream_t *stream, const char *id)
 {
     return stream->last_id[0] == '\0' ||
            strtoll(id, NULL, 10) > strtoll(stream->last_id, NULL, 10);
 }
 
-/* Take bytes in and append the events that are whole now to out; tells how
- * many there are. */
+/* Takes bytes and appends the events that they complete to out.  Returns the
+ * number of events appended. */
 size_t
 stream_feed(stream_t *stream, const char *data, size_t len, buf_t *out)
 {
     size_t events = 0;
     size_t from = stream->partial.len > 2 ? stream->partial.len - 2 : 0;
     buf_add(&stream->partial, data, len);
-    size_t event;
-    size_t done = 0;
-    while ((event = event_length(stream->partial.data + done,
-                                 stream->partial.len - done, from)) > 0) {
+    size_t event_len;
+    size_t consumed = 0;
+    while ((event_len =
+                find_event_length(stream->partial.data + consumed,
+                                  stream->partial.len - consumed, from)) > 0) {
         char id[EVENT_ID_MAX];
-        const char *text = stream->partial.data + done;
-        bool named = event_id(text, event, id, sizeof(id));
-        if (!named || event_is_new(stream, id)) {
-            buf_add(out, text, event);
+        const char *text = stream->partial.data + consumed;
+        bool has_id = read_event_id(text, event_len, id, sizeof(id));
+        if (!has_id || is_new_event(stream, id)) {
+            buf_add(out, text, event_len);
             events++;
         }
-        if (named && event_is_new(stream, id)) {
+        if (has_id && is_new_event(stream, id)) {
             str_copy(stream->last_id, sizeof(stream->last_id), id);
         }
-        done += event;
+        consumed += event_len;
         from = 0;
     }
-    buf_drop(&stream->partial, done);
-    stream->overflow = stream->partial.len > EVENT_MAX;
+    buf_drop(&stream->partial, consumed);
+    stream->overflow = stream->partial.len > EVENT_BYTES_MAX;
     return events;
 }
--- a/relay/wire.h
+++ b/relay/wire.h
@@ -1,33 +1,33 @@
 #ifndef CELERYSPOOL_WIRE_H
 #define CELERYSPOOL_WIRE_H
 
-/* What a header means, whatever it is called where the router runs.  The
- * names stand in platform/header-names.c alone. */
+/* Identifies HTTP headers by their meaning.  Their names are known only to
+ * platform/header-names.c. */
 
 #include "../kernel/base.h"
 
 typedef enum {
-    HEADER_OTHER,          /* passed on as it is */
-    HEADER_CONNECTION,     /* concerns one connection, never passed on */
-    HEADER_CONTENT_LENGTH, /* of the body; the router writes its own */
+    HEADER_OTHER,          /* passed on unchanged */
+    HEADER_CONNECTION,     /* hop-by-hop, never passed on */
+    HEADER_CONTENT_LENGTH, /* the router writes its own */
     HEADER_HOST,
-    HEADER_EXPECT,           /* 100-continue */
-    HEADER_CONTENT_ENCODING, /* Content-Encoding */
+    HEADER_EXPECT, /* Expect: 100-continue */
+    HEADER_CONTENT_ENCODING,
     HEADER_RETRY_AFTER,
 
-    /* From callers, passed on as they are. */
+    /* From callers, passed on unchanged. */
     HEADER_REQUEST_ID,
     HEADER_MODEL,
-    HEADER_TOKEN_USAGE,   /* of the prompt, and of output at most */
+    HEADER_TOKEN_USAGE,   /* prompt tokens, maximum of output tokens */
     HEADER_PROMPT_PREFIX, /* parts of the prompt, ID:TOKENS each */
-    HEADER_LAST_EVENT,    /* a stream goes on behind this event */
+    HEADER_LAST_EVENT,    /* resumes a stream after this event */
     HEADER_OUTPUT_HINT,
 
-    /* From callers, replaced. */
-    HEADER_DEADLINE,   /* how many ms the caller still waits */
-    HEADER_ACCESS_KEY, /* the caller's, never shown to a server */
+    /* From callers, replaced or removed. */
+    HEADER_DEADLINE,   /* ms until the caller's deadline */
+    HEADER_ACCESS_KEY, /* of the caller, never shown to a server */
 
-    /* The router's to set; a caller's own are dropped. */
+    /* Set by the router; values from a caller are dropped. */
     HEADER_WORKSPACE,
     HEADER_PRIORITY,
     HEADER_EXPECT_SERVER,
@@ -45,7 +45,7 @@
     HEADER_SERVER_ID,
     HEADER_LOAD,
     HEADER_NOT_EXECUTED,
-    HEADER_WEIGHTS, /* the version that an answer is made with */
+    HEADER_WEIGHTS, /* weights version that produced the answer */
     HEADER_COUNT
 } wire_header_t;
 
