--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -5,17 +5,17 @@
 
 #include <string.h>
 
-/* A fleet of hosts that place prompts at the same engines, in virtual time.
- * Each host knows what it has sent itself, and what the others announce a
- * little later. */
+/* Simulates many hosts that send prompts to the same engines, in virtual time.
+ * Each host knows its own requests, and learns of the others' by their delayed
+ * load reports. */
 
 #define HOSTS 25
 #define ENGINES 45
 #define ENGINE_TOKENS_PER_MS 48.0
-#define NEWS_MS 50
+#define REPORT_INTERVAL_MS 50
 #define RUN_MS 6000
 #define WARM_MS 1000
-/* Under overload the hosts first learn how late answers come. */
+/* Under overload the forecast margin of the hosts must settle first. */
 #define OVERLOAD_RUN_MS 9000
 #define OVERLOAD_WARM_MS 3000
 #define TARGET_MS 1200
@@ -26,17 +26,17 @@
     size_t host;
     size_t engine;
     double tokens;
-    double wait_ms;     /* for what was ahead of it */
-    double expected_ms; /* from its coming until it is read */
-    int64_t came_ms;
-    double done_ms; /* its prompt is read */
-    bool counted_off;
+    double wait_ms;     /* for prompts queued ahead of it */
+    double expected_ms; /* from its arrival until it is prefilled */
+    int64_t received_ms;
+    double done_ms; /* its prompt is prefilled */
+    bool finished;
 } placed_t;
 
 typedef struct {
     relay_t *hosts[HOSTS];
     server_t *servers[HOSTS][ENGINES];
-    double free_ms[ENGINES]; /* the engine has read all by then */
+    double free_ms[ENGINES]; /* when the engine's queue is empty */
     placed_t placed[REQUESTS_MAX];
     size_t count;
     relay_config_t *config;
@@ -44,7 +44,7 @@
     int64_t run_ms;
     int64_t warm_ms;
     size_t refused;
-    double read_tokens; /* of prompts that were let in behind WARM_MS */
+    double prefill_tokens; /* of prompts admitted after warm_ms */
     rng_t rng;
 } fleet_t;
 
@@ -95,16 +95,16 @@
 }
 
 static size_t
-engine_of(const fleet_t *fleet, size_t host, const server_t *server)
+find_engine(const fleet_t *fleet, size_t host, const server_t *server)
 {
-    size_t at = 0;
-    while (fleet->servers[host][at] != server) {
-        at++;
+    size_t index = 0;
+    while (fleet->servers[host][index] != server) {
+        index++;
     }
-    return at;
+    return index;
 }
 
-/* One prompt that shares nothing comes to a host. */
+/* A random host receives a prompt without a shared part. */
 static void
 fleet_place(fleet_t *fleet, double tokens, int64_t now)
 {
@@ -131,8 +131,8 @@
         fleet->refused++;
         return;
     }
-    fleet->read_tokens += now > fleet->warm_ms ? tokens : 0;
-    size_t engine = engine_of(fleet, host, server);
+    fleet->prefill_tokens += now > fleet->warm_ms ? tokens : 0;
+    size_t engine = find_engine(fleet, host, server);
     double begin = (double)now;
     begin = fleet->free_ms[engine] > begin ? fleet->free_ms[engine] : begin;
     fleet->free_ms[engine] = begin + tokens / ENGINE_TOKENS_PER_MS;
@@ -144,7 +144,7 @@
         .tokens = tokens,
         .wait_ms = begin - (double)now,
         .expected_ms = request.expected_wait_ms + request.expected_prefill_ms,
-        .came_ms = now,
+        .received_ms = now,
         .done_ms = fleet->free_ms[engine]};
 }
 
@@ -153,14 +153,14 @@
 {
     for (size_t i = 0; i < fleet->count; i++) {
         placed_t *placed = &fleet->placed[i];
-        if (!placed->counted_off && placed->done_ms <= (double)now) {
+        if (!placed->finished && placed->done_ms <= (double)now) {
             server_t *server = fleet->servers[placed->host][placed->engine];
             server_read(server, placed->tokens);
             server_done(server);
             forecast_note(&fleet->hosts[placed->host]->forecast,
                           placed->expected_ms,
-                          placed->done_ms - (double)placed->came_ms);
-            placed->counted_off = true;
+                          placed->done_ms - (double)placed->received_ms);
+            placed->finished = true;
         }
     }
 }
@@ -170,7 +170,7 @@
 {
     static peer_datagram_t datagram;
     for (size_t from = 0; from < HOSTS; from++) {
-        if ((now + (int64_t)from * 2) % NEWS_MS != 0 ||
+        if ((now + (int64_t)from * 2) % REPORT_INTERVAL_MS != 0 ||
             !peer_loads_collect(fleet->hosts[from]->servers, &datagram, now)) {
             continue;
         }
@@ -184,19 +184,20 @@
 }
 
 static void
-fleet_play(fleet_t *fleet, double utilisation, double tokens)
+fleet_run(fleet_t *fleet, double utilisation, double tokens)
 {
-    double per_ms = utilisation * ENGINES * ENGINE_TOKENS_PER_MS / tokens;
+    double requests_per_ms =
+        utilisation * ENGINES * ENGINE_TOKENS_PER_MS / tokens;
     for (int64_t now = 1; now <= fleet->run_ms; now++) {
         fleet_finish(fleet, now);
         fleet_announce(fleet, now);
-        double expect = per_ms;
-        while (expect > 0) {
-            if (rng_unit(&fleet->rng) < expect) {
+        double due = requests_per_ms;
+        while (due > 0) {
+            if (rng_unit(&fleet->rng) < due) {
                 fleet_place(fleet, tokens * (0.5 + rng_unit(&fleet->rng)),
                             now);
             }
-            expect -= 1;
+            due -= 1;
         }
     }
 }
@@ -209,9 +210,9 @@
     return (x > y) - (x < y);
 }
 
-/* The wait that so great a part of the requests stays below, ms. */
+/* Returns a quantile of the wait of requests prefilled after warm_ms, ms. */
 static double
-wait_quantile(const fleet_t *fleet, double part)
+wait_quantile(const fleet_t *fleet, double quantile)
 {
     static double waits[REQUESTS_MAX];
     size_t count = 0;
@@ -223,50 +224,52 @@
     }
     ck_assert_uint_gt(count, 100);
     qsort(waits, count, sizeof(double), compare_doubles);
-    return waits[(size_t)((double)(count - 1) * part)];
+    return waits[(size_t)((double)(count - 1) * quantile)];
 }
 
-/* Callers of flags want their first token in a second: a tenth of it is left
- * for what is ahead of them, a fifth where prompts take 140 ms to read. */
+/* Callers of the flag route expect the first token within a second.  A tenth
+ * of that may be spent on queueing, a fifth where prompts take 140 ms to
+ * prefill. */
 #define SMALL_WAIT_MS 100
 #define LARGE_WAIT_MS 200
 
-/* Guards against hosts that all choose the server that the last news show
- * idle. */
-START_TEST(small_prompts_of_many_hosts_spread)
+/* Guards against a herd effect: all hosts choose the server that the last load
+ * reports show idle. */
+START_TEST(small_prompts_spread_over_servers)
 {
     for (uint64_t seed = 1; seed <= 3; seed++) {
         fleet_t *fleet = fleet_new(seed);
-        fleet_play(fleet, 0.7, 1800);
+        fleet_run(fleet, 0.7, 1800);
         ck_assert_double_le(wait_quantile(fleet, 0.95), SMALL_WAIT_MS);
         fleet_free(fleet);
     }
 }
 END_TEST
 
-/* The same for prompts that fill a server for longer than news take. */
-START_TEST(large_prompts_of_many_hosts_spread)
+/* The same for prompts that keep a server busy for longer than the interval of
+ * load reports. */
+START_TEST(large_prompts_spread_over_servers)
 {
     for (uint64_t seed = 1; seed <= 3; seed++) {
         fleet_t *fleet = fleet_new(seed);
-        fleet_play(fleet, 0.7, 6600);
+        fleet_run(fleet, 0.7, 6600);
         ck_assert_double_le(wait_quantile(fleet, 0.95), LARGE_WAIT_MS);
         fleet_free(fleet);
     }
 }
 END_TEST
 
-/* Part of their time that the servers spend on prompts. */
+/* Returns the share of their time that the servers spend on prefill. */
 static double
-busy_part(const fleet_t *fleet)
+prefill_share(const fleet_t *fleet)
 {
-    return fleet->read_tokens / ENGINE_TOKENS_PER_MS /
+    return fleet->prefill_tokens / ENGINE_TOKENS_PER_MS /
            (double)(ENGINES * (fleet->run_ms - fleet->warm_ms));
 }
 
-/* Guards against servers that read prompts without a pause: the answers that
- * they are making then come so slowly that they miss their deadlines. */
-START_TEST(overload_leaves_servers_time_for_answers)
+/* Guards against servers that prefill without a pause: the answers that they
+ * are generating then take so long that they miss their deadlines. */
+START_TEST(overload_leaves_time_for_generation)
 {
     static const double loads[] = {1.2, 1.5, 2.5, 5};
     for (size_t i = 0; i < sizeof(loads) / sizeof(loads[0]); i++) {
@@ -274,29 +277,29 @@
         fleet->admission = true;
         fleet->run_ms = OVERLOAD_RUN_MS;
         fleet->warm_ms = OVERLOAD_WARM_MS;
-        fleet_play(fleet, loads[i], 1800);
-        ck_assert_double_le(busy_part(fleet), 0.92);
-        ck_assert_double_ge(busy_part(fleet), 0.8);
+        fleet_run(fleet, loads[i], 1800);
+        ck_assert_double_le(prefill_share(fleet), 0.92);
+        ck_assert_double_ge(prefill_share(fleet), 0.8);
         ck_assert_double_le(wait_quantile(fleet, 0.95), TARGET_MS / 2.0);
         fleet_free(fleet);
     }
 }
 END_TEST
 
-/* With room for all, nobody is refused. */
-START_TEST(nobody_is_refused_where_there_is_room)
+/* Guards against refusing requests while the servers have capacity left. */
+START_TEST(no_request_is_refused_below_capacity)
 {
     fleet_t *fleet = fleet_new(1);
     fleet->admission = true;
-    fleet_play(fleet, 0.7, 1800);
+    fleet_run(fleet, 0.7, 1800);
     ck_assert_uint_eq(fleet->refused, 0);
     fleet_free(fleet);
 }
 END_TEST
 
-/* Guards against requests that are refused by idle servers: that a server is
- * on older weights or has failed some answers is no wait. */
-START_TEST(preferences_are_no_waiting)
+/* Guards against refusing requests although servers are idle: the cost of
+ * older weights or of errors must not count as expected wait. */
+START_TEST(penalties_do_not_count_as_wait)
 {
     fleet_t *fleet = fleet_new(1);
     relay_t *relay = fleet->hosts[0];
@@ -317,7 +320,7 @@
 }
 END_TEST
 
-TEST_MAIN("place-fleet", small_prompts_of_many_hosts_spread,
-          large_prompts_of_many_hosts_spread,
-          overload_leaves_servers_time_for_answers,
-          nobody_is_refused_where_there_is_room, preferences_are_no_waiting)
+TEST_MAIN("place-fleet", small_prompts_spread_over_servers,
+          large_prompts_spread_over_servers,
+          overload_leaves_time_for_generation,
+          no_request_is_refused_below_capacity, penalties_do_not_count_as_wait)
--- a/tests/test-stream.c
+++ b/tests/test-stream.c
@@ -10,22 +10,24 @@
     "data: no id\n\n"
     "id: 10\ndata: d\n\n";
 
-/* Events reach the caller whole, whatever pieces they come in. */
-START_TEST(pieces_become_whole_events)
+/* Guards against split events: each event is passed on complete, however the
+ * stream is cut into pieces. */
+START_TEST(split_events_are_joined)
 {
     for (uint64_t seed = 0; seed < 500; seed++) {
         rng_t rng = {seed};
         stream_t stream;
         CLEAN_BUF buf_t out = {0};
-        size_t at = 0;
+        size_t offset = 0;
         size_t count = 0;
         stream_init(&stream, "");
-        while (at < sizeof(events) - 1) {
+        while (offset < sizeof(events) - 1) {
             size_t step = 1 + (size_t)rng_below(&rng, 9);
-            step = step < sizeof(events) - 1 - at ? step
-                                                  : sizeof(events) - 1 - at;
-            count += stream_feed(&stream, events + at, step, &out);
-            at += step;
+            step = step < sizeof(events) - 1 - offset
+                       ? step
+                       : sizeof(events) - 1 - offset;
+            count += stream_feed(&stream, events + offset, step, &out);
+            offset += step;
             ck_assert(out.len == 0 || out.data[out.len - 1] == '\n');
         }
         ck_assert_uint_eq(count, 5);
@@ -37,9 +39,10 @@
 }
 END_TEST
 
-/* A server dies within an event, and another goes on one event too early.
- * The caller gets neither the half event nor one that it has. */
-START_TEST(another_server_goes_on_without_gap_or_repeat)
+/* A server fails in the middle of an event, and another resumes the stream one
+ * event too early.  Guards against passing on the incomplete event or one that
+ * the caller already has. */
+START_TEST(resumed_stream_has_no_gap_or_repeat)
 {
     stream_t stream;
     CLEAN_BUF buf_t out = {0};
@@ -54,8 +57,9 @@
 }
 END_TEST
 
-/* A broken server sends without end and without an event. */
-START_TEST(an_event_without_end_is_bounded)
+/* A broken server sends data endlessly without completing an event.  Guards
+ * against buffering it without bound. */
+START_TEST(endless_event_is_bounded)
 {
     stream_t stream;
     CLEAN_BUF buf_t out = {0};
@@ -70,6 +74,5 @@
 }
 END_TEST
 
-TEST_MAIN("stream", pieces_become_whole_events,
-          another_server_goes_on_without_gap_or_repeat,
-          an_event_without_end_is_bounded)
+TEST_MAIN("stream", split_events_are_joined,
+          resumed_stream_has_no_gap_or_repeat, endless_event_is_bounded)
