--- a/relay/meter.h
+++ b/relay/meter.h
@@ -30,7 +30,7 @@
     CK_SLIST_HEAD(meter_routes, meter_route) routes;
     uint64_t sends;
     uint64_t retries;
-    uint64_t not_admitted;   /* rejected before routing */
+    uint64_t not_admitted;   /* rejected on receipt */
     uint64_t prompt_tokens;  /* of all requests */
     uint64_t cached_tokens;  /* of these, expected in the servers' caches */
     uint64_t cache_events;   /* received from the followed caches */
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -190,7 +190,7 @@
 /* ---- the answer ---- */
 
 static bool
-is_answer_to_other(const request_t *request, const http_head_t *head)
+has_other_request_id(const request_t *request, const http_head_t *head)
 {
     const header_t *id =
         http_head_find(head, wire_header_name(HEADER_REQUEST_ID));
@@ -304,7 +304,7 @@
 on_head(void *arg, const http_head_t *head)
 {
     request_t *request = arg;
-    if (is_answer_to_other(request, head)) {
+    if (has_other_request_id(request, head)) {
         log_record(LOG_WARN, "request", "stray-answer", "id=%s server=%s",
                    request->id, request->server->info.id);
         return HEAD_SKIP;
--- a/relay/request.c
+++ b/relay/request.c
@@ -66,12 +66,12 @@
 {
     meter_t *meter = &request->relay->meter;
     meter_route_t *route = meter_get_route(meter, request->route->name);
-    int64_t came_us = request->received_ms * 1000;
+    int64_t start_us = request->received_ms * 1000;
     route->outcomes[request->outcome]++;
-    histogram_add(&route->total, time_mono_us() - came_us);
+    histogram_add(&route->total, time_mono_us() - start_us);
     if (request->first_answer_ms > 0) {
         histogram_add(&route->first_answer,
-                      request->first_answer_ms * 1000 - came_us);
+                      request->first_answer_ms * 1000 - start_us);
     }
     if (request->sends > 0) {
         histogram_add(&route->overhead, request->overhead_us);
@@ -141,13 +141,13 @@
 request_fail(request_t *request, int status, const char *reason)
 {
     caller_t *caller = request->caller;
-    bool begun = request->phase == REQUEST_STREAMING;
+    bool streaming = request->phase == REQUEST_STREAMING;
     request->status = status;
     request->outcome = METER_FAILED;
     log_record(LOG_WARN, "request", "failed", "id=%s why=%s status=%d",
-               request->id, reason, begun ? 0 : status);
+               request->id, reason, streaming ? 0 : status);
     request_end(request, reason);
-    if (begun) {
+    if (streaming) {
         caller_break(caller);
         return;
     }
@@ -234,8 +234,8 @@
 }
 
 /* A server does not answer: fails its requests over to other servers.  Those
- * that may not run twice keep waiting, since the server may only be cut off by
- * the network and may still answer. */
+ * that were sent and may not run twice keep waiting, since the server may only
+ * be cut off by the network and may still answer. */
 void
 requests_fail_over(relay_t *relay, const server_t *server)
 {
@@ -288,7 +288,7 @@
             abandon_attempt(request);
             continue;
         }
-        /* After a first attempt, placing it again counts as a retry. */
+        /* Placement after a first attempt is a retry and needs a share. */
         if (request->server != NULL || now < request->not_before_ms ||
             (request->sends > 0 && now < request->placement_deadline_ms &&
              !retry_share_left(&relay->retry_shares, request->service, now))) {
