--- a/relay/admit.c
+++ b/relay/admit.c
@@ -24,7 +24,7 @@
 
 /* Whether the first answer would be late, as late as answers lately were. */
 static bool
-is_too_late(const admit_ask_t *ask)
+is_too_late(const admit_input_t *ask)
 {
     double wait_max =
         ask->target_ms * TARGET_PART - ask->read_ms - ask->margin_ms;
@@ -33,19 +33,19 @@
         wait_max = wait_least;
     }
     return ask->wait_ms > wait_max ||
-           ask->wait_ms + ask->read_ms > ask->left_ms * LEFT_PART;
+           ask->wait_ms + ask->read_ms > ask->remaining_ms * LEFT_PART;
 }
 
 /* 0 to let a request in, else after how many ms it should come back. */
 int64_t
-admit_after_ms(const admit_ask_t *ask)
+admit_retry_after_ms(const admit_input_t *ask)
 {
     if (!ask->engine || !is_too_late(ask)) {
         return 0;
     }
     int64_t after = (int64_t)(ask->wait_ms - ask->target_ms / 2.0);
-    if (after > ask->left_ms / AFTER_PART) {
-        after = ask->left_ms / AFTER_PART;
+    if (after > ask->remaining_ms / AFTER_PART) {
+        after = ask->remaining_ms / AFTER_PART;
     }
     return after > AFTER_LEAST_MS ? after : AFTER_LEAST_MS;
 }
--- a/relay/admit.h
+++ b/relay/admit.h
@@ -6,14 +6,14 @@
 #include "../kernel/base.h"
 
 typedef struct {
-    double wait_ms;   /* for what is ahead of it at the best server */
-    double read_ms;   /* for its own prompt behind that */
-    double margin_ms; /* that answers lately came later than expected */
-    int target_ms;    /* that is in time */
-    int64_t left_ms;  /* until nobody waits for it any more */
+    double wait_ms;       /* for what is ahead of it at the best server */
+    double read_ms;       /* for its own prompt behind that */
+    double margin_ms;     /* that answers lately came later than expected */
+    int target_ms;        /* that is in time */
+    int64_t remaining_ms; /* until nobody waits for it any more */
     bool engine;
-} admit_ask_t;
+} admit_input_t;
 
-int64_t admit_after_ms(const admit_ask_t *ask);
+int64_t admit_retry_after_ms(const admit_input_t *ask);
 
 #endif
--- a/relay/forecast.c
+++ b/relay/forecast.c
@@ -15,7 +15,7 @@
 #define SPREADS 3.0
 
 void
-forecast_note(forecast_t *forecast, double expected_ms, double observed_ms)
+forecast_update(forecast_t *forecast, double expected_ms, double observed_ms)
 {
     double error = observed_ms - expected_ms;
     error = fmax(-ERROR_MOST_MS, fmin(error, ERROR_MOST_MS));
--- a/relay/forecast.h
+++ b/relay/forecast.h
@@ -11,8 +11,8 @@
     double spread_ms; /* distance of the errors from that, smoothed */
 } forecast_t;
 
-void forecast_note(forecast_t *forecast, double expected_ms,
-                   double observed_ms);
+void forecast_update(forecast_t *forecast, double expected_ms,
+                     double observed_ms);
 double forecast_margin_ms(const forecast_t *forecast);
 
 #endif
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -91,8 +91,8 @@
     struct sockaddr_in at;
     if (peers_addr_of(addr, &at) == 0 &&
         strcmp(addr, peers->relay->settings.peer) != 0) {
-        quotas_host_known(&peers->relay->quotas, peers_host_of(&at),
-                          time_mono_ms());
+        quotas_confirm_host(&peers->relay->quotas, peers_host_of(&at),
+                            time_mono_ms());
     }
 }
 
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -20,8 +20,8 @@
 share_retries(peers_t *peers, int64_t now)
 {
     relay_t *relay = peers->relay;
-    double part = retry_hosts_part(&peers->hosts, peers_live(peers),
-                                   (size_t)relay->settings.hosts, now);
+    double part = retry_hosts_slack_share(&peers->hosts, peers_live(peers),
+                                          (size_t)relay->settings.hosts, now);
     relay->retries.slack = part * relay->settings.retry_slack;
 }
 
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -54,7 +54,7 @@
     quotas->bounds = *bounds;
     quotas->incarnation = incarnation;
     quotas->started_ms = now_ms;
-    quotas->part = 1.0 / HOSTS_UNKNOWN;
+    quotas->share = 1.0 / HOSTS_UNKNOWN;
 }
 
 static void
@@ -118,7 +118,7 @@
 void
 quotas_config_begin(quotas_t *quotas)
 {
-    quotas->round++;
+    quotas->config_count++;
 }
 
 /* A host that has just started does not know what others have spent: its
@@ -130,9 +130,9 @@
     double most = capacity(quotas, &quota->limit);
     double level = START_PART * allowance(quotas, &quota->limit) +
                    quota->limit.rate * age_s;
-    quota->level = (level < most ? level : most) * quotas->part;
-    quota->level_ms = now_ms;
-    quota->slice_ms = now_ms;
+    quota->level = (level < most ? level : most) * quotas->share;
+    quota->updated_ms = now_ms;
+    quota->slice_started_ms = now_ms;
 }
 
 /* Sets the limit of a workspace; a rate of 0 is none. */
@@ -156,7 +156,7 @@
         quotas->count++;
     }
     quota->limit = *limit;
-    quota->round = quotas->round;
+    quota->config_seen = quotas->config_count;
 }
 
 /* Drops the limits that the configuration no longer has. */
@@ -168,7 +168,7 @@
         quota_t *next;
         CK_SLIST_FOREACH_SAFE(quota, &quotas->buckets[i], entry, next)
         {
-            if (quota->round != quotas->round) {
+            if (quota->config_seen != quotas->config_count) {
                 CK_SLIST_REMOVE(&quotas->buckets[i], quota, quota, entry);
                 quota_free(quota);
                 quotas->count--;
@@ -183,11 +183,11 @@
 static double
 silence_ms(const quotas_t *quotas, int64_t now_ms)
 {
-    if (quotas->in_touch_count == 0) {
+    if (quotas->reachable_count == 0) {
         return 0;
     }
     double mean =
-        (double)quotas->received_sum_ms / (double)quotas->in_touch_count;
+        (double)quotas->received_sum_ms / (double)quotas->reachable_count;
     return fmax(0, (double)now_ms - mean);
 }
 
@@ -196,26 +196,27 @@
 static void
 measure_others(const quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
-    int64_t span = now_ms - quota->slice_ms;
-    bool silent =
-        silence_ms(quotas, now_ms) > (double)quotas_interval_ms(quotas);
+    int64_t span = now_ms - quota->slice_started_ms;
+    bool silent = silence_ms(quotas, now_ms) >
+                  (double)quotas_announce_interval_ms(quotas);
     if (span < SLICE_MS) {
         return;
     }
     if (!silent) {
-        double newest = quota->others_sum / (double)span;
+        double newest = quota->others_spent / (double)span;
         double weight = 1 - pow(1 - SLICE_WEIGHT, (double)span / SLICE_MS);
         quota->others_rate += weight * (newest - quota->others_rate);
         quota->others_rate = fmax(0, quota->others_rate);
     }
-    quota->others_sum = 0;
-    quota->slice_ms = now_ms;
+    quota->others_spent = 0;
+    quota->slice_started_ms = now_ms;
 }
 
 /* Units that the hosts in touch are expected to have spent since they were
  * last announcements. */
 double
-quota_unseen(const quotas_t *quotas, const quota_t *quota, int64_t now_ms)
+quota_estimate_unreported(const quotas_t *quotas, const quota_t *quota,
+                          int64_t now_ms)
 {
     return quota->others_rate * silence_ms(quotas, now_ms);
 }
@@ -224,16 +225,16 @@
 static void
 quota_advance(quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
-    if (now_ms <= quota->level_ms) {
+    if (now_ms <= quota->updated_ms) {
         return;
     }
     measure_others(quotas, quota, now_ms);
-    double most = capacity(quotas, &quota->limit) * quotas->part;
-    double refill = quota->limit.rate * quotas->part *
-                    (double)(now_ms - quota->level_ms) / 1000;
+    double most = capacity(quotas, &quota->limit) * quotas->share;
+    double refill = quota->limit.rate * quotas->share *
+                    (double)(now_ms - quota->updated_ms) / 1000;
     quota->level = fmin(quota->level + refill, most);
-    quota->booked = fmax(0, quota->booked - refill);
-    quota->level_ms = now_ms;
+    quota->reserved = fmax(0, quota->reserved - refill);
+    quota->updated_ms = now_ms;
 }
 
 /* Units that may be spent now. */
@@ -241,7 +242,7 @@
 quota_available(quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
     quota_advance(quotas, quota, now_ms);
-    return quota->level - quota_unseen(quotas, quota, now_ms);
+    return quota->level - quota_estimate_unreported(quotas, quota, now_ms);
 }
 
 /* When a bucket that lacks so much will have it, behind the callers that were
@@ -249,33 +250,33 @@
 static int64_t
 after_ms(const quotas_t *quotas, quota_t *quota, double missing, double cost)
 {
-    double per_ms = quota->limit.rate * quotas->part / 1000;
-    double after = (missing + quota->booked) / per_ms;
-    if (quota->booked < per_ms * AFTER_MOST_MS) {
-        quota->booked += cost;
+    double per_ms = quota->limit.rate * quotas->share / 1000;
+    double after = (missing + quota->reserved) / per_ms;
+    if (quota->reserved < per_ms * AFTER_MOST_MS) {
+        quota->reserved += cost;
     }
     return (int64_t)fmax(AFTER_LEAST_MS, fmin(after, AFTER_MOST_MS));
 }
 
 /* Whether a request of this cost may run now; it is spent if so. */
-quota_verdict_t
-quota_ask(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
+quota_decision_t
+quota_try_spend(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
     double available = quota_available(quotas, quota, now_ms);
     double extra = allowance(quotas, &quota->limit);
-    double want = fmin(cost, capacity(quotas, &quota->limit) * quotas->part);
+    double want = fmin(cost, capacity(quotas, &quota->limit) * quotas->share);
     if (cost > quota->limit.burst + OVERSIZE_PART * extra) {
-        quota->refused++;
-        return (quota_verdict_t){.after_ms = 0};
+        quota->rejected++;
+        return (quota_decision_t){.retry_after_ms = 0};
     }
     if (available < want) {
-        quota->refused++;
-        return (quota_verdict_t){
-            .after_ms = after_ms(quotas, quota, want - available, cost)};
+        quota->rejected++;
+        return (quota_decision_t){
+            .retry_after_ms = after_ms(quotas, quota, want - available, cost)};
     }
     quota_spend(quotas, quota, cost, now_ms);
     quota->allowed++;
-    return (quota_verdict_t){.allowed = true};
+    return (quota_decision_t){.allowed = true};
 }
 
 /* A request runs, or runs once more. */
@@ -289,7 +290,7 @@
 
 /* A request that was counted has not run and never will. */
 void
-quota_return(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
+quota_refund(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
     quota_spend(quotas, quota, 0, now_ms);
     quota->level += cost;
@@ -300,7 +301,7 @@
 
 /* Time between announcements, ms. */
 int64_t
-quotas_interval_ms(const quotas_t *quotas)
+quotas_announce_interval_ms(const quotas_t *quotas)
 {
     int64_t interval = (int64_t)quotas->host_count * INTERVAL_HOST_MS;
     return interval > INTERVAL_LEAST_MS ? interval : INTERVAL_LEAST_MS;
@@ -328,11 +329,11 @@
 
 /* Another host is a member or is listed: it may be spending. */
 void
-quotas_host_known(quotas_t *quotas, uint64_t host, int64_t now_ms)
+quotas_confirm_host(quotas_t *quotas, uint64_t host, int64_t now_ms)
 {
     quota_host_t *place = host_find(quotas, host);
     if (place != NULL) {
-        place->known_ms = now_ms;
+        place->confirmed_ms = now_ms;
     }
 }
 
@@ -342,7 +343,7 @@
 static void
 set_part(quotas_t *quotas, double part, int64_t now_ms)
 {
-    double before = quotas->part;
+    double before = quotas->share;
     if (part == before) {
         return;
     }
@@ -355,7 +356,7 @@
             }
         }
     }
-    quotas->part = part;
+    quotas->share = part;
 }
 
 static void
@@ -366,7 +367,7 @@
         return;
     }
     set_part(quotas,
-             (double)(quotas->in_touch_count + 1) /
+             (double)(quotas->reachable_count + 1) /
                  (double)(quotas->host_count + 1),
              now_ms);
 }
@@ -375,19 +376,19 @@
 void
 quotas_tick(quotas_t *quotas, int64_t now_ms)
 {
-    int64_t silent = quotas_interval_ms(quotas) * SILENT_INTERVALS;
+    int64_t silent = quotas_announce_interval_ms(quotas) * SILENT_INTERVALS;
     for (size_t i = 0; i < QUOTA_HOSTS_MAX; i++) {
         quota_host_t *host = &quotas->hosts[i];
         if (host->host == 0) {
             continue;
         }
-        if (host->in_touch && now_ms - host->received_ms > silent) {
-            host->in_touch = false;
-            quotas->in_touch_count--;
+        if (host->reachable && now_ms - host->received_ms > silent) {
+            host->reachable = false;
+            quotas->reachable_count--;
             quotas->received_sum_ms -= host->received_ms;
         }
-        if (!host->in_touch && now_ms - host->received_ms > KNOWN_MS &&
-            now_ms - host->known_ms > KNOWN_MS) {
+        if (!host->reachable && now_ms - host->received_ms > KNOWN_MS &&
+            now_ms - host->confirmed_ms > KNOWN_MS) {
             host->host = 0;
             quotas->host_count--;
         }
@@ -416,23 +417,23 @@
 {
     bool first = host->received_ms == 0;
     quotas->received_sum_ms +=
-        now_ms - (host->in_touch ? host->received_ms : 0);
+        now_ms - (host->reachable ? host->received_ms : 0);
     host->received_ms = now_ms;
-    host->known_ms = now_ms;
+    host->confirmed_ms = now_ms;
     host->sequence = datagram->sequence;
     bool restarted = host->incarnation != datagram->incarnation;
-    if (!host->in_touch || restarted) {
-        host->contact = ++quotas->contacts;
+    if (!host->reachable || restarted) {
+        host->session = ++quotas->last_session;
     }
     if (restarted) {
-        host->previous = host->incarnation;
+        host->previous_incarnation = host->incarnation;
         host->incarnation = datagram->incarnation;
     }
-    if (host->in_touch) {
+    if (host->reachable) {
         return;
     }
-    host->in_touch = true;
-    quotas->in_touch_count++;
+    host->reachable = true;
+    quotas->reachable_count++;
     if (first && now_ms - quotas->started_ms < LEARN_MS) {
         join_start(quotas, now_ms);
     }
@@ -453,14 +454,14 @@
         quota->reports = mem_zalloc(QUOTA_HOSTS_MAX * sizeof(*quota->reports));
     }
     quota_report_t *last = &quota->reports[host - quotas->hosts];
-    uint32_t since = last->contact == host->contact
+    uint32_t since = last->session == host->session
                          ? usage->spent - last->spent
                          : usage->recent;
     double delta = (double)(int32_t)since;
-    *last = (quota_report_t){usage->spent, host->contact};
+    *last = (quota_report_t){usage->spent, host->session};
     quota_advance(quotas, quota, now_ms);
     quota->level -= delta;
-    quota->others_sum += delta;
+    quota->others_spent += delta;
 }
 
 /* Applies an announcement; repeated and overtaken ones change nothing.  A
@@ -473,7 +474,7 @@
     quota_host_t *host = host_find(quotas, from);
     bool same = host != NULL && host->incarnation == datagram->incarnation;
     if (host == NULL || (same && datagram->sequence <= host->sequence) ||
-        datagram->incarnation == host->previous) {
+        datagram->incarnation == host->previous_incarnation) {
         return;
     }
     host_received(quotas, host, datagram, now_ms);
@@ -507,7 +508,7 @@
 quotas_announce(quotas_t *quotas, peer_datagram_t *out, int64_t now_ms)
 {
     int64_t since = now_ms - quotas->announced_ms;
-    int64_t interval = quotas_interval_ms(quotas);
+    int64_t interval = quotas_announce_interval_ms(quotas);
     bool due =
         since >= interval || (since >= interval / 2 && has_news(quotas));
     if (quotas->count == 0 || quotas->host_count == 0 || !due) {
--- a/relay/quota.h
+++ b/relay/quota.h
@@ -26,13 +26,13 @@
 
 typedef struct {
     bool allowed;
-    int64_t after_ms; /* when to come back, 0 where it never fits */
-} quota_verdict_t;
+    int64_t retry_after_ms; /* when to come back, 0 where it never fits */
+} quota_decision_t;
 
 /* The last announcement of one other host for a workspace. */
 typedef struct {
     uint32_t spent;   /* of its lifetime, wraps */
-    unsigned contact; /* in which that was received; 0 for none */
+    unsigned session; /* in which that was received; 0 for none */
 } quota_report_t;
 
 typedef struct quota {
@@ -40,30 +40,30 @@
     uint64_t workspace; /* hash of its name */
     char name[CS_NAME_MAX];
     quota_limit_t limit;
-    unsigned round;     /* of the configuration that it was last in */
-    double level;       /* left for the hosts in touch; negative for a debt */
-    int64_t level_ms;   /* when that was */
-    uint32_t spent;     /* by this host, of its lifetime, wraps */
-    uint32_t announced; /* the same, as last announced */
-    double booked;      /* of callers that were given a time to come back */
-    double others_rate; /* spent by other hosts, units a ms */
-    double others_sum;  /* the same, of the present slice */
-    int64_t slice_ms;   /* begin of that slice */
+    unsigned config_seen; /* of the configuration that it was last in */
+    double level;        /* left for the hosts in touch; negative for a debt */
+    int64_t updated_ms;  /* when that was */
+    uint32_t spent;      /* by this host, of its lifetime, wraps */
+    uint32_t announced;  /* the same, as last announced */
+    double reserved;     /* of callers that were given a time to come back */
+    double others_rate;  /* spent by other hosts, units a ms */
+    double others_spent; /* the same, of the present slice */
+    int64_t slice_started_ms; /* begin of that slice */
     quota_report_t *reports; /* by number of host; NULL until one has spoken */
     uint64_t allowed;
-    uint64_t refused;
+    uint64_t rejected;
 } quota_t;
 
 /* Another host that may spend. */
 typedef struct {
     uint64_t host; /* its address; 0 for a free place */
-    int64_t known_ms;
+    int64_t confirmed_ms;
     int64_t received_ms; /* 0 for never */
     uint64_t incarnation;
-    uint64_t previous; /* incarnation before this one */
+    uint64_t previous_incarnation; /* incarnation before this one */
     uint64_t sequence;
-    unsigned contact; /* span without silence or restart, unique */
-    bool in_touch;
+    unsigned session; /* span without silence or restart, unique */
+    bool reachable;
 } quota_host_t;
 
 typedef struct {
@@ -71,13 +71,13 @@
     quota_bounds_t bounds;
     quota_host_t hosts[QUOTA_HOSTS_MAX];
     size_t host_count; /* known ones */
-    size_t in_touch_count;
+    size_t reachable_count;
     int64_t received_sum_ms; /* of the hosts in touch */
-    double part; /* of each limit that the hosts in touch may spend */
+    double share; /* of each limit that the hosts in touch may spend */
     int64_t started_ms;
-    unsigned contacts; /* so far */
+    unsigned last_session; /* so far */
     size_t count;
-    unsigned round;
+    unsigned config_count;
     uint64_t incarnation;
     uint64_t sequence;
     size_t next_bucket; /* of the next announcement */
@@ -96,20 +96,20 @@
 void quotas_config_end(quotas_t *quotas);
 
 quota_t *quotas_find(const quotas_t *quotas, const char *workspace);
-quota_verdict_t quota_ask(quotas_t *quotas, quota_t *quota, double cost,
-                          int64_t now_ms);
+quota_decision_t quota_try_spend(quotas_t *quotas, quota_t *quota, double cost,
+                                 int64_t now_ms);
 void quota_spend(quotas_t *quotas, quota_t *quota, double cost,
                  int64_t now_ms);
-void quota_return(quotas_t *quotas, quota_t *quota, double cost,
+void quota_refund(quotas_t *quotas, quota_t *quota, double cost,
                   int64_t now_ms);
 double quota_available(quotas_t *quotas, quota_t *quota, int64_t now_ms);
-double quota_unseen(const quotas_t *quotas, const quota_t *quota,
-                    int64_t now_ms);
+double quota_estimate_unreported(const quotas_t *quotas, const quota_t *quota,
+                                 int64_t now_ms);
 
 /* Other hosts. */
-void quotas_host_known(quotas_t *quotas, uint64_t host, int64_t now_ms);
+void quotas_confirm_host(quotas_t *quotas, uint64_t host, int64_t now_ms);
 void quotas_tick(quotas_t *quotas, int64_t now_ms);
-int64_t quotas_interval_ms(const quotas_t *quotas);
+int64_t quotas_announce_interval_ms(const quotas_t *quotas);
 bool quotas_announce(quotas_t *quotas, peer_datagram_t *out, int64_t now_ms);
 void quotas_apply(quotas_t *quotas, uint64_t host,
                   const peer_datagram_t *datagram, int64_t now_ms);
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -54,7 +54,7 @@
 {
     meter_gauge(out, "quota_hosts", (double)quotas->host_count + 1);
     meter_gauge(out, "quota_hosts_in_touch",
-                (double)quotas->in_touch_count + 1);
+                (double)quotas->reachable_count + 1);
     for (size_t i = 0; i < QUOTA_BUCKETS; i++) {
         const quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
@@ -64,7 +64,7 @@
                     "celeryspool_quota_refused_total{workspace=\"%s\"} %llu\n",
                     quota->name, quota->level, quota->name,
                     (unsigned long long)quota->allowed, quota->name,
-                    (unsigned long long)quota->refused);
+                    (unsigned long long)quota->rejected);
         }
     }
 }
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -256,14 +256,14 @@
     if (server == NULL) {
         return false;
     }
-    const admit_ask_t ask = {
+    const admit_input_t ask = {
         .wait_ms = request->wait_ms,
         .read_ms = request->read_ms,
         .margin_ms = forecast_margin_ms(&request->relay->forecast),
         .target_ms = request->route->target_ms,
-        .left_ms = request->until_ms - now,
+        .remaining_ms = request->until_ms - now,
         .engine = request->engine};
-    int64_t after_ms = admit_after_ms(&ask);
+    int64_t after_ms = admit_retry_after_ms(&ask);
     if (after_ms > 0 && request->ran == 0) {
         log_record(LOG_INFO, "place", "too-busy",
                    "id=%s server=%s wait_ms=%.0f read_ms=%.0f margin_ms=%.0f "
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -35,17 +35,17 @@
 
 /* Whether the request is within its workspace's limit, of which it then has a
  * part. */
-quota_verdict_t
+quota_decision_t
 request_ask_quota(request_t *request)
 {
     quotas_t *quotas = &request->relay->quotas;
     quota_t *quota = quota_of(request);
     if (quota == NULL) {
-        return (quota_verdict_t){.allowed = true};
+        return (quota_decision_t){.allowed = true};
     }
     double cost = quota_cost(request);
     int64_t now = time_mono_ms();
-    quota_verdict_t verdict = quota_ask(quotas, quota, cost, now);
+    quota_decision_t verdict = quota_try_spend(quotas, quota, cost, now);
     if (verdict.allowed) {
         request->charged = cost;
         return verdict;
@@ -54,9 +54,9 @@
                "id=%s workspace=%s cost=%.0f left=%.0f unseen=%.0f rate=%.0f "
                "burst=%.0f hosts=%zu in_touch=%zu",
                request->id, quota->name, cost, quota->level,
-               quota_unseen(quotas, quota, now), quota->limit.rate,
-               quota->limit.burst, quotas->host_count + 1,
-               quotas->in_touch_count + 1);
+               quota_estimate_unreported(quotas, quota, now),
+               quota->limit.rate, quota->limit.burst, quotas->host_count + 1,
+               quotas->reachable_count + 1);
     return verdict;
 }
 
@@ -78,7 +78,7 @@
     quota_t *quota = quota_of(request);
     bool ran = request->sends > 0 && request->outcome != METER_REFUSED;
     if (quota != NULL && request->charged > 0 && !ran) {
-        quota_return(&request->relay->quotas, quota, request->charged,
+        quota_refund(&request->relay->quotas, quota, request->charged,
                      time_mono_ms());
     }
 }
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -342,9 +342,9 @@
 note_forecast(request_t *request, int64_t now)
 {
     if (request->engine) {
-        forecast_note(&request->relay->forecast,
-                      request->wait_ms + request->read_ms,
-                      (double)(now - request->sent_ms));
+        forecast_update(&request->relay->forecast,
+                        request->wait_ms + request->read_ms,
+                        (double)(now - request->sent_ms));
     }
 }
 
@@ -493,10 +493,10 @@
         case ANSWER_FAILED:
             request->ran++;
             server_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
-            request_failed(request, FATE_FAILED);
+            request_failed(request, SEND_FAILED);
             return;
         case ANSWER_REFUSED:
-            request_failed(request, FATE_REFUSED);
+            request_failed(request, SEND_REJECTED);
             return;
         case ANSWER_NONE:
         case ANSWER_BAD:
@@ -504,7 +504,7 @@
     }
     request->ran++;
     server_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_failed(request, FATE_UNKNOWN);
+    request_failed(request, SEND_UNKNOWN);
 }
 
 static void
@@ -519,7 +519,7 @@
         case EXCHANGE_UNSENT:
             server_fault(request->server, SERVER_FAULT_CONNECT,
                          time_mono_ms());
-            request_failed(request, FATE_UNSENT);
+            request_failed(request, SEND_UNSENT);
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
@@ -529,12 +529,12 @@
     }
     /* A refusal whose body is cut has still been given. */
     if (request->answer == ANSWER_REFUSED) {
-        request_failed(request, FATE_REFUSED);
+        request_failed(request, SEND_REJECTED);
         return;
     }
     request->ran++;
     server_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_failed(request, FATE_UNKNOWN);
+    request_failed(request, SEND_UNKNOWN);
 }
 
 static const exchange_hooks_t hooks = {on_head, on_body, on_end, NULL};
--- a/relay/request.c
+++ b/relay/request.c
@@ -169,49 +169,50 @@
 
 /* A send came to nothing; decide what the request comes to. */
 void
-request_failed(request_t *request, send_fate_t fate)
+request_failed(request_t *request, send_result_t fate)
 {
     int64_t now = time_mono_ms();
-    retry_ask_t ask = {
+    retry_state_t ask = {
         .kind = request->route->kind,
         .resumable = request->route->resumable,
-        .attempts = request->route->attempts,
+        .attempts_max = request->route->attempts,
         .ran = request->ran,
         .sends = request->sends,
-        .begun = request->phase == REQUEST_STREAMING,
-        .share_left =
-            retry_share_left(&request->relay->retries, request->service, now),
-        .left_ms = request->until_ms - now,
+        .answer_started = request->phase == REQUEST_STREAMING,
+        .within_share = retry_share_can_spend(&request->relay->retries,
+                                              request->service, now),
+        .remaining_ms = request->until_ms - now,
     };
-    retry_verdict_t verdict = retry_decide(&ask, fate);
-    log_record(
-        LOG_WARN, "request", "send-failed",
-        "id=%s server=%s fate=%s ran=%d sends=%d share_left=%d "
-        "left_ms=%lld verdict=%s status=%d",
-        request->id, request->server != NULL ? request->server->info.id : "-",
-        send_fate_word(fate), ask.ran, ask.sends, ask.share_left,
-        (long long)ask.left_ms, retry_verdict_word(verdict), request->status);
+    retry_decision_t verdict = retry_decide(&ask, fate);
+    log_record(LOG_WARN, "request", "send-failed",
+               "id=%s server=%s fate=%s ran=%d sends=%d share_left=%d "
+               "left_ms=%lld verdict=%s status=%d",
+               request->id,
+               request->server != NULL ? request->server->info.id : "-",
+               send_result_name(fate), ask.ran, ask.sends, ask.within_share,
+               (long long)ask.remaining_ms, retry_decision_name(verdict),
+               request->status);
     request_sent_over(request);
     switch (verdict) {
-        case RETRY_AGAIN:
+        case RETRY_NOW:
             if (!request_place(request)) {
                 request->waits_until_ms =
                     now + request->route->target_ms / WAIT_SHARE;
             }
             return;
-        case RETRY_WAIT:
+        case RETRY_LATER:
             request->tried_count = 0;
             request->not_before_ms = now + WAIT_AGAIN_MS;
             request->waits_until_ms = request->until_ms;
             return;
-        case RETRY_REFUSE:
+        case RETRY_REJECT:
             request_refuse(request, "refused-by-servers", AFTER_FULL_MS);
             return;
         case RETRY_PASS:
             request_deliver(request, METER_SERVER_FAILURE, "server-failure");
             return;
         case RETRY_FAIL:
-        case RETRY_BREAK:
+        case RETRY_ABORT:
             request_fail(request, 502, "may-have-run");
             return;
     }
@@ -225,7 +226,7 @@
     exchange_cancel(request->exchange);
     request->exchange = NULL;
     request->ran += sent ? 1 : 0;
-    request_failed(request, sent ? FATE_UNKNOWN : FATE_UNSENT);
+    request_failed(request, sent ? SEND_UNKNOWN : SEND_UNSENT);
 }
 
 /* A server is gone without a word.  What may run elsewhere goes there; the
@@ -240,8 +241,8 @@
             continue;
         }
         bool sent = exchange_sent(request->exchange);
-        if (sent && !retry_may_repeat(request->route->kind,
-                                      request->route->resumable)) {
+        if (sent && !retry_can_rerun(request->route->kind,
+                                     request->route->resumable)) {
             continue;
         }
         abandon_send(request);
@@ -284,7 +285,7 @@
         /* Waiting again after a send is a retry like any other. */
         if (request->server != NULL || now < request->not_before_ms ||
             (request->sends > 0 && now < request->waits_until_ms &&
-             !retry_share_left(&relay->retries, request->service, now))) {
+             !retry_share_can_spend(&relay->retries, request->service, now))) {
             continue;
         }
         if (request_place(request) || now < request->waits_until_ms) {
@@ -472,9 +473,9 @@
         request->home = prompt_home(&request->prompt);
     }
     set_times(request);
-    quota_verdict_t quota = request_ask_quota(request);
+    quota_decision_t quota = request_ask_quota(request);
     if (!quota.allowed) {
-        refuse_with(request, 429, "quota", quota.after_ms);
+        refuse_with(request, 429, "quota", quota.retry_after_ms);
         return;
     }
     retry_share_earn(&relay->retries, request->service, request->came_ms);
--- a/relay/request.h
+++ b/relay/request.h
@@ -83,12 +83,12 @@
 bool request_place(request_t *request);
 void request_send(request_t *request, server_t *server);
 void request_sent_over(request_t *request);
-void request_failed(request_t *request, send_fate_t fate);
+void request_failed(request_t *request, send_result_t fate);
 void request_end(request_t *request, const char *outcome);
 void request_deliver(request_t *request, meter_outcome_t outcome,
                      const char *word);
 void request_refuse(request_t *request, const char *why, int64_t after_ms);
-quota_verdict_t request_ask_quota(request_t *request);
+quota_decision_t request_ask_quota(request_t *request);
 void request_charge_again(request_t *request);
 void request_return_charge(request_t *request);
 void request_fail(request_t *request, int status, const char *why);
--- a/relay/retry-rule.c
+++ b/relay/retry-rule.c
@@ -14,7 +14,7 @@
 
 /* Whether a request may run a second time after it may have run once. */
 bool
-retry_may_repeat(route_kind_t kind, bool resumable)
+retry_can_rerun(route_kind_t kind, bool resumable)
 {
     switch (kind) {
         case ROUTE_IDEMPOTENT:
@@ -28,39 +28,39 @@
 }
 
 static bool
-has_room(const retry_ask_t *ask, send_fate_t fate)
+has_room(const retry_state_t *ask, send_result_t fate)
 {
-    return ask->sends < SENDS_MAX && ask->left_ms >= LEFT_LEAST_MS &&
-           (ask->share_left || fate == FATE_UNSENT);
+    return ask->sends < SENDS_MAX && ask->remaining_ms >= LEFT_LEAST_MS &&
+           (ask->within_share || fate == SEND_UNSENT);
 }
 
 /* What to do next.  "Not run" is told only where no send at all may have run;
  * an answer that has begun can only go on or be broken off. */
-retry_verdict_t
-retry_decide(const retry_ask_t *ask, send_fate_t fate)
+retry_decision_t
+retry_decide(const retry_state_t *ask, send_result_t fate)
 {
     bool room = has_room(ask, fate);
-    retry_verdict_t over = ask->begun ? RETRY_BREAK : RETRY_FAIL;
+    retry_decision_t over = ask->answer_started ? RETRY_ABORT : RETRY_FAIL;
     switch (fate) {
-        case FATE_UNSENT:
-        case FATE_REFUSED:
-            if (room && ask->ran < ask->attempts) {
-                return RETRY_AGAIN;
+        case SEND_UNSENT:
+        case SEND_REJECTED:
+            if (room && ask->ran < ask->attempts_max) {
+                return RETRY_NOW;
             }
-            if (ask->begun && ask->left_ms >= LEFT_WAIT_MS &&
-                ask->sends < SENDS_BEGUN_MAX && ask->ran < ask->attempts) {
-                return RETRY_WAIT;
+            if (ask->answer_started && ask->remaining_ms >= LEFT_WAIT_MS &&
+                ask->sends < SENDS_BEGUN_MAX && ask->ran < ask->attempts_max) {
+                return RETRY_LATER;
             }
-            return ask->ran == 0 && !ask->begun ? RETRY_REFUSE : over;
-        case FATE_UNKNOWN:
-        case FATE_FAILED:
+            return ask->ran == 0 && !ask->answer_started ? RETRY_REJECT : over;
+        case SEND_UNKNOWN:
+        case SEND_FAILED:
             break;
     }
-    if (room && ask->ran < ask->attempts &&
-        retry_may_repeat(ask->kind, ask->resumable)) {
-        return RETRY_AGAIN;
+    if (room && ask->ran < ask->attempts_max &&
+        retry_can_rerun(ask->kind, ask->resumable)) {
+        return RETRY_NOW;
     }
-    if (fate == FATE_FAILED && !ask->begun) {
+    if (fate == SEND_FAILED && !ask->answer_started) {
         return RETRY_PASS;
     }
     return over;
@@ -68,16 +68,16 @@
 
 /* The word for logs. */
 const char *
-send_fate_word(send_fate_t fate)
+send_result_name(send_result_t fate)
 {
     switch (fate) {
-        case FATE_UNSENT:
+        case SEND_UNSENT:
             return "unsent";
-        case FATE_REFUSED:
+        case SEND_REJECTED:
             return "refused";
-        case FATE_UNKNOWN:
+        case SEND_UNKNOWN:
             return "may-have-run";
-        case FATE_FAILED:
+        case SEND_FAILED:
             break;
     }
     return "failed";
@@ -85,20 +85,20 @@
 
 /* The word for logs. */
 const char *
-retry_verdict_word(retry_verdict_t verdict)
+retry_decision_name(retry_decision_t verdict)
 {
     switch (verdict) {
-        case RETRY_AGAIN:
+        case RETRY_NOW:
             return "again";
-        case RETRY_WAIT:
+        case RETRY_LATER:
             return "wait";
-        case RETRY_REFUSE:
+        case RETRY_REJECT:
             return "refuse";
         case RETRY_FAIL:
             return "fail";
         case RETRY_PASS:
             return "pass";
-        case RETRY_BREAK:
+        case RETRY_ABORT:
             break;
     }
     return "break";
--- a/relay/retry-share.c
+++ b/relay/retry-share.c
@@ -31,7 +31,7 @@
 void
 retry_hosts_init(retry_hosts_t *hosts, int64_t now_ms)
 {
-    *hosts = (retry_hosts_t){.started_ms = now_ms, .most_live_ms = now_ms};
+    *hosts = (retry_hosts_t){.started_ms = now_ms, .peak_seen_ms = now_ms};
 }
 
 /* This host's part of the slack of all, when so many are alive and the
@@ -39,15 +39,15 @@
  * that two halves that are cut off from each other do not both spend the
  * whole. */
 double
-retry_hosts_part(retry_hosts_t *hosts, size_t live, size_t least,
-                 int64_t now_ms)
+retry_hosts_slack_share(retry_hosts_t *hosts, size_t live, size_t least,
+                        int64_t now_ms)
 {
-    if (live >= hosts->most_live ||
-        now_ms - hosts->most_live_ms > LIVE_HELD_MS) {
-        hosts->most_live = live;
-        hosts->most_live_ms = now_ms;
+    if (live >= hosts->peak_live ||
+        now_ms - hosts->peak_seen_ms > LIVE_HELD_MS) {
+        hosts->peak_live = live;
+        hosts->peak_seen_ms = now_ms;
     }
-    size_t count = hosts->most_live + 1;
+    size_t count = hosts->peak_live + 1;
     int64_t age = now_ms - hosts->started_ms;
     double part = age < LEARN_MS ? 0 : age < WINDOW_MS ? 0.5 : 1;
     return part * SLACK_PART / (double)(count > least ? count : least);
@@ -75,14 +75,14 @@
 static void
 share_advance(retry_share_t *share, int64_t slice)
 {
-    int64_t behind = slice - share->slice;
-    for (int64_t i = 1; i <= behind && i <= RETRY_KEPT; i++) {
-        size_t at = (size_t)((share->slice + i) % RETRY_KEPT);
-        share->firsts[at] = 0;
-        share->again[at] = 0;
+    int64_t behind = slice - share->newest_slice;
+    for (int64_t i = 1; i <= behind && i <= RETRY_SLICES_KEPT; i++) {
+        size_t at = (size_t)((share->newest_slice + i) % RETRY_SLICES_KEPT);
+        share->requests[at] = 0;
+        share->retries[at] = 0;
     }
     if (behind > 0) {
-        share->slice = slice;
+        share->newest_slice = slice;
     }
 }
 
@@ -90,7 +90,7 @@
 static retry_share_t *
 share_at(retry_shares_t *shares, const char *service, int64_t now_ms)
 {
-    int64_t slice = now_ms / (shares->window_ms / RETRY_SLICES);
+    int64_t slice = now_ms / (shares->window_ms / RETRY_WINDOW_SLICES);
     retry_share_t *share;
     CK_SLIST_FOREACH (share, &shares->list, entry) {
         if (strcmp(share->service, service) == 0) {
@@ -100,7 +100,7 @@
     }
     share = mem_zalloc(sizeof(*share));
     str_copy(share->service, sizeof(share->service), service);
-    share->slice = slice;
+    share->newest_slice = slice;
     CK_SLIST_INSERT_HEAD(&shares->list, share, entry);
     return share;
 }
@@ -110,20 +110,21 @@
 retry_share_earn(retry_shares_t *shares, const char *service, int64_t now_ms)
 {
     retry_share_t *share = share_at(shares, service, now_ms);
-    share->firsts[share->slice % RETRY_KEPT]++;
+    share->requests[share->newest_slice % RETRY_SLICES_KEPT]++;
 }
 
 /* Whether one more retry is within the share. */
 bool
-retry_share_left(retry_shares_t *shares, const char *service, int64_t now_ms)
+retry_share_can_spend(retry_shares_t *shares, const char *service,
+                      int64_t now_ms)
 {
     const retry_share_t *share = share_at(shares, service, now_ms);
-    size_t oldest = (size_t)((share->slice + 1) % RETRY_KEPT);
+    size_t oldest = (size_t)((share->newest_slice + 1) % RETRY_SLICES_KEPT);
     unsigned firsts = 0;
     unsigned again = 0;
-    for (size_t i = 0; i < RETRY_KEPT; i++) {
-        firsts += i != oldest ? share->firsts[i] : 0;
-        again += share->again[i];
+    for (size_t i = 0; i < RETRY_SLICES_KEPT; i++) {
+        firsts += i != oldest ? share->requests[i] : 0;
+        again += share->retries[i];
     }
     return again + 1 <= shares->ratio * firsts + shares->slack;
 }
@@ -133,5 +134,5 @@
 retry_share_spend(retry_shares_t *shares, const char *service, int64_t now_ms)
 {
     retry_share_t *share = share_at(shares, service, now_ms);
-    share->again[share->slice % RETRY_KEPT]++;
+    share->retries[share->newest_slice % RETRY_SLICES_KEPT]++;
 }
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -53,12 +53,12 @@
 {
     double wait = *free_at > row->at_ms ? *free_at - row->at_ms : 0;
     double left = row->first_ms + DEADLINE_MS - row->at_ms;
-    admit_ask_t ask = {.wait_ms = wait,
-                       .read_ms = row->tokens / READ_PER_MS,
-                       .target_ms = TARGET_MS,
-                       .left_ms = (int64_t)left,
-                       .engine = true};
-    int64_t after = admission ? admit_after_ms(&ask) : 0;
+    admit_input_t ask = {.wait_ms = wait,
+                         .read_ms = row->tokens / READ_PER_MS,
+                         .target_ms = TARGET_MS,
+                         .remaining_ms = (int64_t)left,
+                         .engine = true};
+    int64_t after = admission ? admit_retry_after_ms(&ask) : 0;
     if (after > 0) {
         row->done = row->again;
         result->refused += row->again ? 1 : 0;
@@ -131,41 +131,41 @@
  * that would mean never to serve them. */
 START_TEST(the_largest_prompts_are_served)
 {
-    admit_ask_t ask = {.wait_ms = 100,
-                       .read_ms = 1300,
-                       .target_ms = 1000,
-                       .left_ms = 15000,
-                       .engine = true};
-    ck_assert_int_eq(admit_after_ms(&ask), 0);
-    ask.left_ms = 1200;
-    ck_assert_int_gt(admit_after_ms(&ask), 0);
+    admit_input_t ask = {.wait_ms = 100,
+                         .read_ms = 1300,
+                         .target_ms = 1000,
+                         .remaining_ms = 15000,
+                         .engine = true};
+    ck_assert_int_eq(admit_retry_after_ms(&ask), 0);
+    ask.remaining_ms = 1200;
+    ck_assert_int_gt(admit_retry_after_ms(&ask), 0);
 }
 END_TEST
 
 /* Where answers lately were late, fewer are let in. */
 START_TEST(a_margin_is_kept_for_late_answers)
 {
-    admit_ask_t ask = {.wait_ms = 700,
-                       .read_ms = 50,
-                       .target_ms = 1000,
-                       .left_ms = 15000,
-                       .engine = true};
-    ck_assert_int_eq(admit_after_ms(&ask), 0);
+    admit_input_t ask = {.wait_ms = 700,
+                         .read_ms = 50,
+                         .target_ms = 1000,
+                         .remaining_ms = 15000,
+                         .engine = true};
+    ck_assert_int_eq(admit_retry_after_ms(&ask), 0);
     ask.margin_ms = 400;
-    ck_assert_int_gt(admit_after_ms(&ask), 0);
+    ck_assert_int_gt(admit_retry_after_ms(&ask), 0);
 }
 END_TEST
 
 /* Callers come back within a third of the time that they have. */
 START_TEST(the_time_to_come_back_is_one_that_callers_keep)
 {
-    admit_ask_t ask = {.wait_ms = 9000,
-                       .read_ms = 30,
-                       .target_ms = 1200,
-                       .left_ms = 3000,
-                       .engine = true};
-    ck_assert_int_le(admit_after_ms(&ask), 1000);
-    ck_assert_int_ge(admit_after_ms(&ask), 100);
+    admit_input_t ask = {.wait_ms = 9000,
+                         .read_ms = 30,
+                         .target_ms = 1200,
+                         .remaining_ms = 3000,
+                         .engine = true};
+    ck_assert_int_le(admit_retry_after_ms(&ask), 1000);
+    ck_assert_int_ge(admit_retry_after_ms(&ask), 100);
 }
 END_TEST
 
--- a/tests/test-forecast.c
+++ b/tests/test-forecast.c
@@ -7,7 +7,7 @@
 {
     forecast_t forecast = {0};
     for (int i = 0; i < 200; i++) {
-        forecast_note(&forecast, 100, 500);
+        forecast_update(&forecast, 100, 500);
     }
     ck_assert_double_ge(forecast_margin_ms(&forecast), 350);
     ck_assert_double_le(forecast_margin_ms(&forecast), 700);
@@ -20,10 +20,10 @@
 {
     forecast_t forecast = {0};
     for (int i = 0; i < 200; i++) {
-        forecast_note(&forecast, 100, 1500);
+        forecast_update(&forecast, 100, 1500);
     }
     for (int i = 0; i < 300; i++) {
-        forecast_note(&forecast, 50, 50);
+        forecast_update(&forecast, 50, 50);
     }
     ck_assert_double_le(forecast_margin_ms(&forecast), 100);
 }
@@ -35,7 +35,7 @@
 {
     forecast_t forecast = {0};
     for (int i = 0; i < 200; i++) {
-        forecast_note(&forecast, 900, 50);
+        forecast_update(&forecast, 900, 50);
     }
     ck_assert_double_ge(forecast_margin_ms(&forecast), 0);
 }
@@ -50,7 +50,7 @@
     for (int i = 0; i < 5000; i++) {
         double late = 400 * rng_unit(&rng) * rng_unit(&rng);
         within += late <= forecast_margin_ms(&forecast);
-        forecast_note(&forecast, 100, 100 + late);
+        forecast_update(&forecast, 100, 100 + late);
     }
     ck_assert_uint_ge(within, 4500);
     ck_assert_double_le(forecast_margin_ms(&forecast), 500);
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -120,14 +120,14 @@
     request.home = rng_next(&fleet->rng);
     server_t *server = request_choose(&request, now);
     ck_assert_ptr_nonnull(server);
-    const admit_ask_t ask = {
+    const admit_input_t ask = {
         .wait_ms = request.wait_ms,
         .read_ms = request.read_ms,
         .margin_ms = forecast_margin_ms(&request.relay->forecast),
         .target_ms = TARGET_MS,
-        .left_ms = DEADLINE_MS,
+        .remaining_ms = DEADLINE_MS,
         .engine = true};
-    if (fleet->admission && admit_after_ms(&ask) > 0) {
+    if (fleet->admission && admit_retry_after_ms(&ask) > 0) {
         fleet->refused++;
         return;
     }
@@ -157,9 +157,9 @@
             server_t *server = fleet->servers[placed->host][placed->engine];
             server_read(server, placed->tokens);
             server_done(server);
-            forecast_note(&fleet->hosts[placed->host]->forecast,
-                          placed->expected_ms,
-                          placed->done_ms - (double)placed->came_ms);
+            forecast_update(&fleet->hosts[placed->host]->forecast,
+                            placed->expected_ms,
+                            placed->done_ms - (double)placed->came_ms);
             placed->counted_off = true;
         }
     }
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -60,7 +60,7 @@
     quotas_config_end(quotas);
     for (size_t i = 0; i < sim->hosts; i++) {
         if (i != host) {
-            quotas_host_known(quotas, i + 1, now);
+            quotas_confirm_host(quotas, i + 1, now);
         }
     }
 }
@@ -160,7 +160,7 @@
     quotas_t *quotas = &sim->quotas[host];
     bool owed = sim->exact >= cost;
     bool allowed =
-        quota_ask(quotas, quotas_find(quotas, SPACE), cost, now).allowed;
+        quota_try_spend(quotas, quotas_find(quotas, SPACE), cost, now).allowed;
     sim->exact -= owed ? cost : 0;
     sim->owed += owed ? cost : 0;
     sim->needless += owed && !allowed ? cost : 0;
@@ -413,7 +413,7 @@
     const quota_limit_t limit = {1000, 1000};
     const quota_bounds_t none = {8, 0, 0};
     quotas_init(&quotas, &none, 1, 0);
-    quotas_host_known(&quotas, 7, 0);
+    quotas_confirm_host(&quotas, 7, 0);
     quotas_config_begin(&quotas);
     quotas_config_set(&quotas, SPACE, &limit, 20000);
     quotas_config_end(&quotas);
@@ -483,10 +483,10 @@
     quota_t *here = quotas_find(&sim->quotas[0], SPACE);
     quota_t *there = quotas_find(&sim->quotas[1], SPACE);
     double full = quota_available(&sim->quotas[1], there, 21000);
-    ck_assert(quota_ask(&sim->quotas[0], here, 9000, 21000).allowed);
+    ck_assert(quota_try_spend(&sim->quotas[0], here, 9000, 21000).allowed);
     sim_play(sim, 21000, 21250);
     ck_assert_double_lt(there->level, full);
-    quota_return(&sim->quotas[0], here, 9000, 21250);
+    quota_refund(&sim->quotas[0], here, 9000, 21250);
     sim_play(sim, 21250, 23000);
     ck_assert_double_eq_tol(quota_available(&sim->quotas[1], there, 23000),
                             full, 1);
@@ -502,11 +502,11 @@
     sim_t *sim = sim_new(1, 36000, 1);
     sim_play(sim, 0, 21000);
     quota_t *quota = quotas_find(&sim->quotas[0], SPACE);
-    quota_verdict_t verdict =
-        quota_ask(&sim->quotas[0], quota, 1000000, 21000);
+    quota_decision_t verdict =
+        quota_try_spend(&sim->quotas[0], quota, 1000000, 21000);
     ck_assert(!verdict.allowed);
-    ck_assert_int_eq(verdict.after_ms, 0);
-    ck_assert(quota_ask(&sim->quotas[0], quota, 60000, 21000).allowed);
+    ck_assert_int_eq(verdict.retry_after_ms, 0);
+    ck_assert(quota_try_spend(&sim->quotas[0], quota, 60000, 21000).allowed);
     sim_free(sim);
 }
 END_TEST
@@ -518,15 +518,15 @@
     sim_t *sim = sim_new(1, 10000, 1);
     sim_play(sim, 0, 21000);
     quota_t *quota = quotas_find(&sim->quotas[0], SPACE);
-    while (quota_ask(&sim->quotas[0], quota, 5000, 21000).allowed) {
+    while (quota_try_spend(&sim->quotas[0], quota, 5000, 21000).allowed) {
     }
     int64_t last = 0;
     for (int i = 0; i < 5; i++) {
-        quota_verdict_t verdict =
-            quota_ask(&sim->quotas[0], quota, 5000, 21000);
+        quota_decision_t verdict =
+            quota_try_spend(&sim->quotas[0], quota, 5000, 21000);
         ck_assert(!verdict.allowed);
-        ck_assert_int_gt(verdict.after_ms, last);
-        last = verdict.after_ms;
+        ck_assert_int_gt(verdict.retry_after_ms, last);
+        last = verdict.retry_after_ms;
     }
     sim_free(sim);
 }
--- a/tests/test-retry-share.c
+++ b/tests/test-retry-share.c
@@ -27,7 +27,7 @@
                 retry_share_earn(&shares, "s", ms);
             }
             if (rng_below(&rng, 100) < 10 &&
-                retry_share_left(&shares, "s", ms)) {
+                retry_share_can_spend(&shares, "s", ms)) {
                 retry_share_spend(&shares, "s", ms);
                 again[ms] = 1;
             }
@@ -83,7 +83,7 @@
             bool busy = ms / 7000 % 2 == 0;
             bool trouble = rng_below(&rng, 4000) == 0 || ms % 9700 < 200;
             bool came = rng_below(&rng, 100) < (busy ? 10 : 1);
-            bool more = trouble && retry_share_left(&shares, "s", ms);
+            bool more = trouble && retry_share_can_spend(&shares, "s", ms);
             if (came) {
                 retry_share_earn(&shares, "s", ms);
             }
@@ -151,7 +151,7 @@
             retry_share_earn(&host->shares, "s", now);
             (*came)++;
         }
-        if (trouble && retry_share_left(&host->shares, "s", now)) {
+        if (trouble && retry_share_can_spend(&host->shares, "s", now)) {
             retry_share_spend(&host->shares, "s", now);
             sent++;
         }
@@ -192,9 +192,9 @@
             }
             for (int i = 0; i < count; i++) {
                 hosts[i].shares.slack =
-                    SLACK_ALL * retry_hosts_part(&hosts[i].hosts,
-                                                 known(hosts, count, i, ms), 0,
-                                                 ms);
+                    SLACK_ALL *
+                    retry_hosts_slack_share(&hosts[i].hosts,
+                                            known(hosts, count, i, ms), 0, ms);
                 sent += host_step(&hosts[i], &rng, trouble, ms, &came);
             }
             for (int at = ms; at < ms + STEP_MS; at++) {
@@ -225,8 +225,8 @@
     retry_shares_init(&shares, 0, WINDOW_MS);
     shares.slack = 1;
     retry_share_spend(&shares, "s", 499);
-    ck_assert(!retry_share_left(&shares, "s", 499 + WINDOW_MS - 1));
-    ck_assert(retry_share_left(&shares, "s", 499 + WINDOW_MS + 501));
+    ck_assert(!retry_share_can_spend(&shares, "s", 499 + WINDOW_MS - 1));
+    ck_assert(retry_share_can_spend(&shares, "s", 499 + WINDOW_MS + 501));
     retry_shares_free(&shares);
 }
 END_TEST
@@ -236,11 +236,11 @@
     retry_shares_t shares;
     retry_shares_init(&shares, 0, WINDOW_MS);
     shares.slack = 1;
-    ck_assert(retry_share_left(&shares, "a", 5));
+    ck_assert(retry_share_can_spend(&shares, "a", 5));
     retry_share_spend(&shares, "a", 5);
-    ck_assert(!retry_share_left(&shares, "a", 6));
-    ck_assert(retry_share_left(&shares, "b", 6));
-    ck_assert(retry_share_left(&shares, "a", 6 + WINDOW_MS + 500));
+    ck_assert(!retry_share_can_spend(&shares, "a", 6));
+    ck_assert(retry_share_can_spend(&shares, "b", 6));
+    ck_assert(retry_share_can_spend(&shares, "a", 6 + WINDOW_MS + 500));
     retry_shares_free(&shares);
 }
 END_TEST
