--- a/relay/admit.c
+++ b/relay/admit.c
@@ -1,51 +1,54 @@
 #include "admit.h"
 
-/* The load that this answers: requests for engines come faster than they can
- * be read, as when two of nine servers are dark and others load weights.  Let
- * in without bound, all of them would be late, and those with short deadlines
- * would be read in vain.  Refused at once and told when to come back, those
- * that are let in are in time. */
+/* Handles overload: requests for engines arrive faster than engines can read
+ * their prompts, for example while two of nine servers are unreachable and
+ * others load weights.  If all were admitted, all would be late, and prompts
+ * with a short timeout would be read for nothing.  Rejecting some at once with
+ * a retry-after keeps the admitted ones within their target. */
 
-/* Part of the target within which an answer is expected to come: network and
- * hosts take the rest. */
-#define TARGET_PART 0.9
-/* A prompt that takes most of the target to read is late whatever is done.
- * It is let in while the wait is under this part of the target, or the largest
- * prompts would never be served. */
-#define WAIT_PART 0.35
-/* Part of the time left that the expected time may take: half of the answers
- * come later than expected, one in ten after twice the time. */
-#define LEFT_PART 0.8
-/* When to come back: when the work ahead has shrunk to half a target; not
- * before this, ms, and within a third of the time left, which is as long as
- * callers wait. */
-#define AFTER_LEAST_MS 150
-#define AFTER_PART 3
+/* Share of the target within which the first answer must be expected.  The
+ * rest is left for the network and the hosts. */
+#define TARGET_SHARE 0.9
+/* A request is not rejected for its target while the wait is below this share
+ * of it.  Without this, prompts that take most of the target to read would
+ * never be served. */
+#define ADMIT_WAIT_SHARE 0.35
+/* Share of the remaining time that the expected time may take: half of the
+ * answers take longer than expected, one in ten twice as long. */
+#define REMAINING_SHARE 0.8
+/* The retry-after is the time until the queue has shrunk to half the target,
+ * at most a third of the remaining time, as callers don't wait longer, and at
+ * least RETRY_AFTER_MIN_MS. */
+#define RETRY_AFTER_MIN_MS 150
+#define RETRY_AFTER_DIVISOR 3
 
-/* Whether the first answer would be late, as late as answers lately were. */
+/* Whether the first answer would be late if it took as much longer than
+ * expected as recent answers did. */
 static bool
-is_too_late(const admit_input_t *ask)
+is_too_late(const admit_input_t *input)
 {
     double wait_max =
-        ask->target_ms * TARGET_PART - ask->read_ms - ask->margin_ms;
-    double wait_least = ask->target_ms * WAIT_PART;
-    if (wait_max < wait_least) {
-        wait_max = wait_least;
+        input->target_ms * TARGET_SHARE - input->read_ms - input->margin_ms;
+    double admit_wait = input->target_ms * ADMIT_WAIT_SHARE;
+    if (wait_max < admit_wait) {
+        wait_max = admit_wait;
     }
-    return ask->wait_ms > wait_max ||
-           ask->wait_ms + ask->read_ms > ask->remaining_ms * LEFT_PART;
+    return input->wait_ms > wait_max ||
+           input->wait_ms + input->read_ms >
+               input->remaining_ms * REMAINING_SHARE;
 }
 
-/* 0 to let a request in, else after how many ms it should come back. */
+/* Returns 0 to admit a request, or the time in ms after which the caller
+ * should retry. */
 int64_t
-admit_retry_after_ms(const admit_input_t *ask)
+admit_retry_after_ms(const admit_input_t *input)
 {
-    if (!ask->engine || !is_too_late(ask)) {
+    if (!input->engine || !is_too_late(input)) {
         return 0;
     }
-    int64_t after = (int64_t)(ask->wait_ms - ask->target_ms / 2.0);
-    if (after > ask->remaining_ms / AFTER_PART) {
-        after = ask->remaining_ms / AFTER_PART;
+    int64_t after = (int64_t)(input->wait_ms - input->target_ms / 2.0);
+    if (after > input->remaining_ms / RETRY_AFTER_DIVISOR) {
+        after = input->remaining_ms / RETRY_AFTER_DIVISOR;
     }
-    return after > AFTER_LEAST_MS ? after : AFTER_LEAST_MS;
+    return after > RETRY_AFTER_MIN_MS ? after : RETRY_AFTER_MIN_MS;
 }
--- a/relay/forecast.h
+++ b/relay/forecast.h
@@ -1,14 +1,14 @@
 #ifndef CELERYSPOOL_FORECAST_H
 #define CELERYSPOOL_FORECAST_H
 
-/* How far forecasts of the first answer are off, learned from those that came
- * true.  No I/O and no clock. */
+/* Statistics of how much later than expected first answers arrive.  No I/O and
+ * no clock. */
 
 #include "../kernel/base.h"
 
 typedef struct {
-    double error_ms;  /* observed less expected, smoothed */
-    double spread_ms; /* distance of the errors from that, smoothed */
+    double error_ms;  /* observed minus expected time, moving average */
+    double spread_ms; /* absolute deviation from error_ms, moving average */
 } forecast_t;
 
 void forecast_update(forecast_t *forecast, double expected_ms,
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -3,8 +3,8 @@
 
 #include <stdlib.h>
 
-/* Plays a load on one engine that reads prompts one after the other, in
- * virtual time, with callers that come back once when they are told to. */
+/* Simulates one engine that reads prompts one after the other, in virtual
+ * time.  A rejected caller retries once, after its retry-after. */
 
 #define READ_PER_MS 55.0
 #define TARGET_MS 1200
@@ -13,32 +13,32 @@
 #define RUN_MS 30000
 
 typedef struct {
-    double at_ms; /* when it comes, or comes back */
-    double first_ms;
+    double at_ms;    /* arrival of the next try */
+    double first_ms; /* arrival of the first try */
     double tokens;
-    bool again;
+    bool retried;
     bool done;
-} caller_row_t;
+} sim_caller_t;
 
 typedef struct {
     unsigned in_time;
     unsigned late;
-    unsigned refused;
-    unsigned in_vain; /* read, though nobody waited any more */
+    unsigned rejected;
+    unsigned timed_out; /* read, but answered after the deadline */
 } result_t;
 
 static int
 by_time(const void *a, const void *b)
 {
-    const caller_row_t *x = a;
-    const caller_row_t *y = b;
+    const sim_caller_t *x = a;
+    const sim_caller_t *y = b;
     return (x->at_ms > y->at_ms) - (x->at_ms < y->at_ms);
 }
 
-static caller_row_t *
-next_caller(caller_row_t *rows, size_t count)
+static sim_caller_t *
+next_caller(sim_caller_t *rows, size_t count)
 {
-    caller_row_t *next = NULL;
+    sim_caller_t *next = NULL;
     for (size_t i = 0; i < count; i++) {
         if (!rows[i].done && (next == NULL || rows[i].at_ms < next->at_ms)) {
             next = &rows[i];
@@ -47,28 +47,28 @@
     return next;
 }
 
-/* One caller is served, refused, or told to come back. */
+/* Serves a try of a caller, or rejects it. */
 static void
-serve(caller_row_t *row, double *free_at, bool admission, result_t *result)
+serve(sim_caller_t *caller, double *free_at, bool admission, result_t *result)
 {
-    double wait = *free_at > row->at_ms ? *free_at - row->at_ms : 0;
-    double left = row->first_ms + DEADLINE_MS - row->at_ms;
-    admit_input_t ask = {.wait_ms = wait,
-                         .read_ms = row->tokens / READ_PER_MS,
-                         .target_ms = TARGET_MS,
-                         .remaining_ms = (int64_t)left,
-                         .engine = true};
-    int64_t after = admission ? admit_retry_after_ms(&ask) : 0;
+    double wait = *free_at > caller->at_ms ? *free_at - caller->at_ms : 0;
+    double left = caller->first_ms + DEADLINE_MS - caller->at_ms;
+    admit_input_t input = {.wait_ms = wait,
+                           .read_ms = caller->tokens / READ_PER_MS,
+                           .target_ms = TARGET_MS,
+                           .remaining_ms = (int64_t)left,
+                           .engine = true};
+    int64_t after = admission ? admit_retry_after_ms(&input) : 0;
     if (after > 0) {
-        row->done = row->again;
-        result->refused += row->again ? 1 : 0;
-        row->again = true;
-        row->at_ms += (double)after;
+        caller->done = caller->retried;
+        result->rejected += caller->retried ? 1 : 0;
+        caller->retried = true;
+        caller->at_ms += (double)after;
         return;
     }
-    row->done = true;
-    *free_at = row->at_ms + wait + ask.read_ms;
-    double total = *free_at - row->first_ms;
+    caller->done = true;
+    *free_at = caller->at_ms + wait + input.read_ms;
+    double total = *free_at - caller->first_ms;
     if (total <= TARGET_MS) {
         result->in_time++;
     }
@@ -76,14 +76,14 @@
         result->late++;
     }
     else {
-        result->in_vain++;
+        result->timed_out++;
     }
 }
 
 static result_t
-play(double load, bool admission)
+simulate(double load, bool admission)
 {
-    static caller_row_t rows[CALLERS_MAX];
+    static sim_caller_t rows[CALLERS_MAX];
     rng_t rng = {7};
     size_t count = 0;
     double at = 0;
@@ -91,85 +91,84 @@
     result_t result = {0};
     while (at < RUN_MS && count < CALLERS_MAX) {
         double tokens = 400 + 3200 * rng_unit(&rng);
-        rows[count++] = (caller_row_t){at, at, tokens, false, false};
+        rows[count++] = (sim_caller_t){at, at, tokens, false, false};
         at += 2000.0 / READ_PER_MS / load * 2 * rng_unit(&rng);
     }
     qsort(rows, count, sizeof(rows[0]), by_time);
-    caller_row_t *row;
-    while ((row = next_caller(rows, count)) != NULL) {
-        serve(row, &free_at, admission, &result);
+    sim_caller_t *caller;
+    while ((caller = next_caller(rows, count)) != NULL) {
+        serve(caller, &free_at, admission, &result);
     }
     return result;
 }
 
-/* Requests come half as fast again as they can be read.  Without admission
- * the queue grows until each answer comes when nobody waits for it; with it
- * most of those that can be read at all are in time. */
-START_TEST(overload_does_not_make_everybody_late)
+/* Requests arrive 1.5 times as fast as the engine reads them.  Without
+ * admission control the queue grows until most answers miss their deadline;
+ * with it most of the requests that the engine can read are in time. */
+START_TEST(overload_does_not_make_all_answers_late)
 {
-    result_t before = play(1.5, false);
-    result_t after = play(1.5, true);
+    result_t before = simulate(1.5, false);
+    result_t after = simulate(1.5, true);
     unsigned callers =
-        before.in_time + before.late + before.refused + before.in_vain;
-    ck_assert_uint_gt(before.in_vain, callers * 6 / 10);
+        before.in_time + before.late + before.rejected + before.timed_out;
+    ck_assert_uint_gt(before.timed_out, callers * 6 / 10);
     ck_assert_uint_gt(after.in_time, callers * 6 / 10);
     ck_assert_uint_gt(after.in_time, before.in_time * 4);
-    ck_assert_uint_eq(after.in_vain, 0);
+    ck_assert_uint_eq(after.timed_out, 0);
 }
 END_TEST
 
-/* With room for all, nobody is refused. */
-START_TEST(nobody_is_refused_where_there_is_room)
+START_TEST(nothing_is_rejected_below_capacity)
 {
-    result_t result = play(0.6, true);
-    ck_assert_uint_eq(result.refused, 0);
+    result_t result = simulate(0.6, true);
+    ck_assert_uint_eq(result.rejected, 0);
     ck_assert_uint_eq(result.late, 0);
 }
 END_TEST
 
-/* The largest prompts take longer than the target to read.  Refusing them for
- * that would mean never to serve them. */
-START_TEST(the_largest_prompts_are_served)
+/* The largest prompts take longer than the target to read.  If they were
+ * rejected for that, they would never be served. */
+START_TEST(prompts_longer_than_the_target_are_served)
 {
-    admit_input_t ask = {.wait_ms = 100,
-                         .read_ms = 1300,
-                         .target_ms = 1000,
-                         .remaining_ms = 15000,
-                         .engine = true};
-    ck_assert_int_eq(admit_retry_after_ms(&ask), 0);
-    ask.remaining_ms = 1200;
-    ck_assert_int_gt(admit_retry_after_ms(&ask), 0);
+    admit_input_t input = {.wait_ms = 100,
+                           .read_ms = 1300,
+                           .target_ms = 1000,
+                           .remaining_ms = 15000,
+                           .engine = true};
+    ck_assert_int_eq(admit_retry_after_ms(&input), 0);
+    input.remaining_ms = 1200;
+    ck_assert_int_gt(admit_retry_after_ms(&input), 0);
 }
 END_TEST
 
-/* Where answers lately were late, fewer are let in. */
-START_TEST(a_margin_is_kept_for_late_answers)
+/* Fewer requests are admitted when recent answers were late. */
+START_TEST(margin_of_late_answers_reduces_admission)
 {
-    admit_input_t ask = {.wait_ms = 700,
-                         .read_ms = 50,
-                         .target_ms = 1000,
-                         .remaining_ms = 15000,
-                         .engine = true};
-    ck_assert_int_eq(admit_retry_after_ms(&ask), 0);
-    ask.margin_ms = 400;
-    ck_assert_int_gt(admit_retry_after_ms(&ask), 0);
+    admit_input_t input = {.wait_ms = 700,
+                           .read_ms = 50,
+                           .target_ms = 1000,
+                           .remaining_ms = 15000,
+                           .engine = true};
+    ck_assert_int_eq(admit_retry_after_ms(&input), 0);
+    input.margin_ms = 400;
+    ck_assert_int_gt(admit_retry_after_ms(&input), 0);
 }
 END_TEST
 
-/* Callers come back within a third of the time that they have. */
-START_TEST(the_time_to_come_back_is_one_that_callers_keep)
+/* The retry-after is at most a third of the remaining time. */
+START_TEST(retry_after_is_bounded)
 {
-    admit_input_t ask = {.wait_ms = 9000,
-                         .read_ms = 30,
-                         .target_ms = 1200,
-                         .remaining_ms = 3000,
-                         .engine = true};
-    ck_assert_int_le(admit_retry_after_ms(&ask), 1000);
-    ck_assert_int_ge(admit_retry_after_ms(&ask), 100);
+    admit_input_t input = {.wait_ms = 9000,
+                           .read_ms = 30,
+                           .target_ms = 1200,
+                           .remaining_ms = 3000,
+                           .engine = true};
+    ck_assert_int_le(admit_retry_after_ms(&input), 1000);
+    ck_assert_int_ge(admit_retry_after_ms(&input), 100);
 }
 END_TEST
 
-TEST_MAIN("admit", overload_does_not_make_everybody_late,
-          nobody_is_refused_where_there_is_room,
-          the_largest_prompts_are_served, a_margin_is_kept_for_late_answers,
-          the_time_to_come_back_is_one_that_callers_keep)
+TEST_MAIN("admit", overload_does_not_make_all_answers_late,
+          nothing_is_rejected_below_capacity,
+          prompts_longer_than_the_target_are_served,
+          margin_of_late_answers_reduces_admission, retry_after_is_bounded)
--- a/tests/test-forecast.c
+++ b/tests/test-forecast.c
@@ -1,8 +1,8 @@
 #include "../relay/forecast.h"
 #include "test.h"
 
-/* Guards against requests that are let in by a forecast which everybody can
- * see to be wrong. */
+/* Guards against admitting requests by estimates that recent answers have
+ * proved too short. */
 START_TEST(late_answers_widen_the_margin)
 {
     forecast_t forecast = {0};
@@ -14,9 +14,9 @@
 }
 END_TEST
 
-/* Guards against refusals that go on behind an overload: answers that come as
- * expected close the margin again. */
-START_TEST(answers_in_time_close_it_again)
+/* Guards against rejections that go on after an overload: answers that arrive
+ * as expected shrink the margin again. */
+START_TEST(answers_in_time_shrink_the_margin)
 {
     forecast_t forecast = {0};
     for (int i = 0; i < 200; i++) {
@@ -29,7 +29,7 @@
 }
 END_TEST
 
-/* Answers that come sooner than expected do not let more in than the target
+/* Answers that arrive sooner than expected don't admit more than the target
  * allows. */
 START_TEST(the_margin_is_never_negative)
 {
@@ -41,8 +41,8 @@
 }
 END_TEST
 
-/* Answers that vary leave room for those that come later than most. */
-START_TEST(most_answers_come_within_the_margin)
+/* The margin covers at least nine in ten answers where their times vary. */
+START_TEST(most_answers_arrive_within_the_margin)
 {
     forecast_t forecast = {0};
     rng_t rng = {3};
@@ -58,5 +58,5 @@
 END_TEST
 
 TEST_MAIN("forecast", late_answers_widen_the_margin,
-          answers_in_time_close_it_again, the_margin_is_never_negative,
-          most_answers_come_within_the_margin)
+          answers_in_time_shrink_the_margin, the_margin_is_never_negative,
+          most_answers_arrive_within_the_margin)
