--- a/relay/quota.c
+++ b/relay/quota.c
@@ -4,44 +4,47 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The load that this answers: one workspace sends many times its limit, over
- * all hosts, and the others must not pay for it.
+/* Keeps a workspace that sends many times its limit, over all hosts, from
+ * slowing down the others.
  *
- * Each host keeps one token bucket for each workspace, for all hosts in touch
- * together: it subtracts what it spends itself and what the others announce.
- * What was spent twice in the time of an announcement makes the bucket
- * negative and is paid back, so the error does not add up.  Silent hosts
- * may be spending too: the others go on with their own part of the limit
- * until the silent ones are gone for good. */
-
-/* Parts of what the bounds allow beyond a limit: added to each bucket, so that
- * requests within the limit are not refused for an estimate that is off; had
- * by a fleet of which all hosts have just started, before the first refill;
- * spent by all hosts without an announcement. */
-#define EXTRA_PART 0.3
-#define START_PART 0.4
-#define UNANNOUNCED_PART 0.15
-/* A request that exceeds the bucket is admitted to a full one up to this part
- * of what the bounds allow, else never. */
-#define OVERSIZE_PART 0.5
-/* A host that neither announces nor is a member counts for so long, ms: longer
- * than one that is cut off goes on spending its part. */
-#define KNOWN_MS 15000
-/* Until other hosts are listed, this many are assumed. */
-#define HOSTS_UNKNOWN 32
-#define LEARN_MS 2000
-/* Announcements: at least so often, ms, and less often in large fleets, so
- * that the datagrams of a host are bounded; a host is silent behind several
- * lost ones. */
-#define INTERVAL_LEAST_MS 200
-#define INTERVAL_HOST_MS 8
+ * Each host keeps one token bucket per workspace on behalf of all reachable
+ * hosts: it subtracts what it spends itself and what the others announce.
+ * Tokens spent twice before an announcement arrives make the level negative
+ * and are paid back, so the error does not accumulate.  Hosts that don't
+ * announce may be spending too: the others use only their own share of the
+ * limit until the silent hosts expire. */
+
+/* Shares of the excess that the bounds allow over a limit.  EXTRA is added to
+ * the capacity of each bucket, so that requests within the limit are not
+ * rejected because an estimate is inexact.  START is available after all hosts
+ * have just started, before the first refill.  UNANNOUNCED may be spent by all
+ * hosts together before an early announcement is due. */
+#define EXTRA_SHARE 0.3
+#define START_SHARE 0.4
+#define UNANNOUNCED_SHARE 0.15
+/* A request that costs more than a full bucket holds is allowed when the
+ * bucket is full; one that exceeds the burst by more than this share of the
+ * excess never is. */
+#define OVERSIZE_SHARE 0.5
+/* A host that neither announces nor is confirmed expires after this time.  It
+ * is longer than a host that is cut off goes on spending its share. */
+#define HOST_EXPIRY_MS 15000
+/* Number of hosts that is assumed until other hosts are found, or until
+ * DISCOVERY_MS have passed without finding one. */
+#define HOSTS_ASSUMED 32
+#define DISCOVERY_MS 2000
+/* Interval of announcements.  It grows with the number of hosts, so that the
+ * rate of datagrams per host is bounded.  Several announcements must be lost
+ * before a host counts as silent. */
+#define INTERVAL_MIN_MS 200
+#define INTERVAL_PER_HOST_MS 8
 #define SILENT_INTERVALS 4
-/* Slice over which the others' rate is averaged, and weight of the newest. */
+/* Slice over which the rate of the other hosts is measured, and the weight of
+ * the newest slice in the moving average. */
 #define SLICE_MS 250
 #define SLICE_WEIGHT 0.4
-/* Bounds of the time to come back, ms. */
-#define AFTER_LEAST_MS 50
-#define AFTER_MOST_MS 5000
+#define RETRY_AFTER_MIN_MS 50
+#define RETRY_AFTER_MAX_MS 5000
 
 void
 quotas_init(quotas_t *quotas, const quota_bounds_t *bounds,
@@ -54,7 +57,7 @@
     quotas->bounds = *bounds;
     quotas->incarnation = incarnation;
     quotas->started_ms = now_ms;
-    quotas->share = 1.0 / HOSTS_UNKNOWN;
+    quotas->share = 1.0 / HOSTS_ASSUMED;
 }
 
 static void
@@ -76,26 +79,27 @@
     }
 }
 
-/* Units beyond a limit that all hosts may spend in a window. */
+/* Returns by how many units all hosts together may exceed a limit in a
+ * window. */
 static double
-allowance(const quotas_t *quotas, const quota_limit_t *limit)
+max_excess(const quotas_t *quotas, const quota_limit_t *limit)
 {
     const quota_bounds_t *bounds = &quotas->bounds;
     return (limit->rate * bounds->window_s + limit->burst) * bounds->overage +
            bounds->slack;
 }
 
-/* The most that a bucket holds, of all hosts. */
+/* Returns the capacity of a bucket that all hosts share. */
 static double
 capacity(const quotas_t *quotas, const quota_limit_t *limit)
 {
-    return limit->burst + EXTRA_PART * allowance(quotas, limit);
+    return limit->burst + EXTRA_SHARE * max_excess(quotas, limit);
 }
 
 /* ---- limits ---- */
 
 static quota_t *
-find_hash(const quotas_t *quotas, uint64_t workspace)
+find_by_hash(const quotas_t *quotas, uint64_t workspace)
 {
     quota_t *quota;
     CK_SLIST_FOREACH (quota, &quotas->buckets[workspace % QUOTA_BUCKETS],
@@ -107,12 +111,12 @@
     return NULL;
 }
 
-/* The quota of a workspace, or NULL where it has no limit. */
+/* Returns the quota of a workspace, or NULL if it has no limit. */
 quota_t *
 quotas_find(const quotas_t *quotas, const char *workspace)
 {
     return quotas->count == 0 ? NULL
-                              : find_hash(quotas, str_hash(workspace, 0));
+                              : find_by_hash(quotas, str_hash(workspace, 0));
 }
 
 void
@@ -121,21 +125,22 @@
     quotas->config_count++;
 }
 
-/* A host that has just started does not know what others have spent: its
- * bucket is not full before it would have refilled. */
+/* Sets the level of a new bucket.  A host that has just started does not know
+ * what others have spent, so it only has the start share and what the limit
+ * has allowed since it started. */
 static void
-quota_start(const quotas_t *quotas, quota_t *quota, int64_t now_ms)
+set_start_level(const quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
     double age_s = (double)(now_ms - quotas->started_ms) / 1000;
-    double most = capacity(quotas, &quota->limit);
-    double level = START_PART * allowance(quotas, &quota->limit) +
+    double max_level = capacity(quotas, &quota->limit);
+    double level = START_SHARE * max_excess(quotas, &quota->limit) +
                    quota->limit.rate * age_s;
-    quota->level = (level < most ? level : most) * quotas->share;
+    quota->level = (level < max_level ? level : max_level) * quotas->share;
     quota->updated_ms = now_ms;
     quota->slice_started_ms = now_ms;
 }
 
-/* Sets the limit of a workspace; a rate of 0 is none. */
+/* Sets the limit of a workspace; a rate of 0 means none. */
 void
 quotas_config_set(quotas_t *quotas, const char *workspace,
                   const quota_limit_t *limit, int64_t now_ms)
@@ -144,13 +149,13 @@
         return;
     }
     uint64_t hash = str_hash(workspace, 0);
-    quota_t *quota = find_hash(quotas, hash);
+    quota_t *quota = find_by_hash(quotas, hash);
     if (quota == NULL) {
         quota = mem_zalloc(sizeof(*quota));
         quota->workspace = hash;
         str_copy(quota->name, sizeof(quota->name), workspace);
         quota->limit = *limit;
-        quota_start(quotas, quota, now_ms);
+        set_start_level(quotas, quota, now_ms);
         CK_SLIST_INSERT_HEAD(&quotas->buckets[hash % QUOTA_BUCKETS], quota,
                              entry);
         quotas->count++;
@@ -159,7 +164,7 @@
     quota->config_seen = quotas->config_count;
 }
 
-/* Drops the limits that the configuration no longer has. */
+/* Removes the limits that the new configuration does not have. */
 void
 quotas_config_end(quotas_t *quotas)
 {
@@ -179,9 +184,10 @@
 
 /* ---- the bucket ---- */
 
-/* Mean time since the last announcements of the hosts in touch, ms. */
+/* Returns the mean time since the last announcements of the reachable hosts,
+ * in ms. */
 static double
-silence_ms(const quotas_t *quotas, int64_t now_ms)
+mean_silence_ms(const quotas_t *quotas, int64_t now_ms)
 {
     if (quotas->reachable_count == 0) {
         return 0;
@@ -191,13 +197,13 @@
     return fmax(0, (double)now_ms - mean);
 }
 
-/* Measures what the other hosts spend in a ms.  Hosts that have fallen silent
- * are expected to go on as before: they may be cut off only. */
+/* Updates the rate at which the other hosts spend.  While announcements are
+ * missing the rate is kept: the hosts may only be cut off and still spend. */
 static void
-measure_others(const quotas_t *quotas, quota_t *quota, int64_t now_ms)
+update_others_rate(const quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
     int64_t span = now_ms - quota->slice_started_ms;
-    bool silent = silence_ms(quotas, now_ms) >
+    bool silent = mean_silence_ms(quotas, now_ms) >
                   (double)quotas_announce_interval_ms(quotas);
     if (span < SLICE_MS) {
         return;
@@ -212,32 +218,32 @@
     quota->slice_started_ms = now_ms;
 }
 
-/* Units that the hosts in touch are expected to have spent since they were
- * last announcements. */
+/* Estimates the units that the reachable hosts have spent since their last
+ * announcements. */
 double
 quota_estimate_unreported(const quotas_t *quotas, const quota_t *quota,
                           int64_t now_ms)
 {
-    return quota->others_rate * silence_ms(quotas, now_ms);
+    return quota->others_rate * mean_silence_ms(quotas, now_ms);
 }
 
-/* Moves a bucket on to now. */
+/* Refills a bucket up to now. */
 static void
 quota_advance(quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
     if (now_ms <= quota->updated_ms) {
         return;
     }
-    measure_others(quotas, quota, now_ms);
-    double most = capacity(quotas, &quota->limit) * quotas->share;
+    update_others_rate(quotas, quota, now_ms);
+    double max_level = capacity(quotas, &quota->limit) * quotas->share;
     double refill = quota->limit.rate * quotas->share *
                     (double)(now_ms - quota->updated_ms) / 1000;
-    quota->level = fmin(quota->level + refill, most);
+    quota->level = fmin(quota->level + refill, max_level);
     quota->reserved = fmax(0, quota->reserved - refill);
     quota->updated_ms = now_ms;
 }
 
-/* Units that may be spent now. */
+/* Returns the units that may be spent now. */
 double
 quota_available(quotas_t *quotas, quota_t *quota, int64_t now_ms)
 {
@@ -245,41 +251,45 @@
     return quota->level - quota_estimate_unreported(quotas, quota, now_ms);
 }
 
-/* When a bucket that lacks so much will have it, behind the callers that were
- * given a time before. */
+/* Returns when a rejected caller should retry: after the bucket has gained the
+ * lacking units and those reserved for callers that were rejected before.
+ * Reserves the cost too, so that callers don't all retry at the same time. */
 static int64_t
-after_ms(const quotas_t *quotas, quota_t *quota, double missing, double cost)
+reserve_retry_ms(const quotas_t *quotas, quota_t *quota, double lacking,
+                 double cost)
 {
     double per_ms = quota->limit.rate * quotas->share / 1000;
-    double after = (missing + quota->reserved) / per_ms;
-    if (quota->reserved < per_ms * AFTER_MOST_MS) {
+    double after = (lacking + quota->reserved) / per_ms;
+    if (quota->reserved < per_ms * RETRY_AFTER_MAX_MS) {
         quota->reserved += cost;
     }
-    return (int64_t)fmax(AFTER_LEAST_MS, fmin(after, AFTER_MOST_MS));
+    return (int64_t)fmax(RETRY_AFTER_MIN_MS, fmin(after, RETRY_AFTER_MAX_MS));
 }
 
-/* Whether a request of this cost may run now; it is spent if so. */
+/* Spends the cost of a request if it may run now, else says when to retry. */
 quota_decision_t
 quota_try_spend(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
     double available = quota_available(quotas, quota, now_ms);
-    double extra = allowance(quotas, &quota->limit);
-    double want = fmin(cost, capacity(quotas, &quota->limit) * quotas->share);
-    if (cost > quota->limit.burst + OVERSIZE_PART * extra) {
+    double excess = max_excess(quotas, &quota->limit);
+    double required =
+        fmin(cost, capacity(quotas, &quota->limit) * quotas->share);
+    if (cost > quota->limit.burst + OVERSIZE_SHARE * excess) {
         quota->rejected++;
         return (quota_decision_t){.retry_after_ms = 0};
     }
-    if (available < want) {
+    if (available < required) {
         quota->rejected++;
         return (quota_decision_t){
-            .retry_after_ms = after_ms(quotas, quota, want - available, cost)};
+            .retry_after_ms =
+                reserve_retry_ms(quotas, quota, required - available, cost)};
     }
     quota_spend(quotas, quota, cost, now_ms);
     quota->allowed++;
     return (quota_decision_t){.allowed = true};
 }
 
-/* A request runs, or runs once more. */
+/* Spends the cost of a request that runs, or runs once more. */
 void
 quota_spend(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
@@ -288,7 +298,7 @@
     quota->spent += (uint32_t)cost;
 }
 
-/* A request that was counted has not run and never will. */
+/* Gives back the cost of a request that has not run and never will. */
 void
 quota_refund(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
@@ -299,80 +309,81 @@
 
 /* ---- other hosts ---- */
 
-/* Time between announcements, ms. */
+/* Returns the time between two announcements. */
 int64_t
 quotas_announce_interval_ms(const quotas_t *quotas)
 {
-    int64_t interval = (int64_t)quotas->host_count * INTERVAL_HOST_MS;
-    return interval > INTERVAL_LEAST_MS ? interval : INTERVAL_LEAST_MS;
+    int64_t interval = (int64_t)quotas->host_count * INTERVAL_PER_HOST_MS;
+    return interval > INTERVAL_MIN_MS ? interval : INTERVAL_MIN_MS;
 }
 
 static quota_host_t *
-host_find(quotas_t *quotas, uint64_t host)
+find_or_add_host(quotas_t *quotas, uint64_t host)
 {
-    quota_host_t *free_place = NULL;
+    quota_host_t *free_slot = NULL;
     for (size_t i = 0; i < QUOTA_HOSTS_MAX; i++) {
-        quota_host_t *place = &quotas->hosts[i];
-        if (place->host == host) {
-            return place;
+        quota_host_t *slot = &quotas->hosts[i];
+        if (slot->host == host) {
+            return slot;
         }
-        if (place->host == 0 && free_place == NULL) {
-            free_place = place;
+        if (slot->host == 0 && free_slot == NULL) {
+            free_slot = slot;
         }
     }
-    if (free_place != NULL) {
-        *free_place = (quota_host_t){.host = host};
+    if (free_slot != NULL) {
+        *free_slot = (quota_host_t){.host = host};
         quotas->host_count++;
     }
-    return free_place;
+    return free_slot;
 }
 
-/* Another host is a member or is listed: it may be spending. */
+/* Notes that another host is a member or is listed, so that it may be
+ * spending. */
 void
 quotas_confirm_host(quotas_t *quotas, uint64_t host, int64_t now_ms)
 {
-    quota_host_t *place = host_find(quotas, host);
-    if (place != NULL) {
-        place->confirmed_ms = now_ms;
+    quota_host_t *slot = find_or_add_host(quotas, host);
+    if (slot != NULL) {
+        slot->confirmed_ms = now_ms;
     }
 }
 
-/* Sets the part of each limit that the hosts in touch may spend.  Less of it
- * leaves less of what is in each bucket, since the hosts that are out of touch
- * may spend the rest. */
+/* Sets the share of each limit that this host and the reachable ones may
+ * spend.  A smaller share reduces the level of each bucket in proportion,
+ * since the unreachable hosts may spend the rest. */
 static void
-set_part(quotas_t *quotas, double part, int64_t now_ms)
+set_share(quotas_t *quotas, double share, int64_t now_ms)
 {
     double before = quotas->share;
-    if (part == before) {
+    if (share == before) {
         return;
     }
     for (size_t i = 0; i < QUOTA_BUCKETS && quotas->count > 0; i++) {
         quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
             quota_advance(quotas, quota, now_ms);
-            if (part < before && quota->level > 0) {
-                quota->level *= part / before;
+            if (share < before && quota->level > 0) {
+                quota->level *= share / before;
             }
         }
     }
-    quotas->share = part;
+    quotas->share = share;
 }
 
 static void
-count_hosts(quotas_t *quotas, int64_t now_ms)
+update_share(quotas_t *quotas, int64_t now_ms)
 {
     bool alone = quotas->host_count == 0;
-    if (alone && now_ms - quotas->started_ms < LEARN_MS) {
+    if (alone && now_ms - quotas->started_ms < DISCOVERY_MS) {
         return;
     }
-    set_part(quotas,
-             (double)(quotas->reachable_count + 1) /
-                 (double)(quotas->host_count + 1),
-             now_ms);
+    set_share(quotas,
+              (double)(quotas->reachable_count + 1) /
+                  (double)(quotas->host_count + 1),
+              now_ms);
 }
 
-/* Drops hosts that are gone and counts those that are silent. */
+/* Marks silent hosts as unreachable and removes expired ones. */
 void
 quotas_tick(quotas_t *quotas, int64_t now_ms)
 {
@@ -387,33 +398,33 @@
             quotas->reachable_count--;
             quotas->received_sum_ms -= host->received_ms;
         }
-        if (!host->reachable && now_ms - host->received_ms > KNOWN_MS &&
-            now_ms - host->confirmed_ms > KNOWN_MS) {
+        if (!host->reachable && now_ms - host->received_ms > HOST_EXPIRY_MS &&
+            now_ms - host->confirmed_ms > HOST_EXPIRY_MS) {
             host->host = 0;
             quotas->host_count--;
         }
     }
-    count_hosts(quotas, now_ms);
+    update_share(quotas, now_ms);
 }
 
-/* A share of what a started fleet may spend comes with each host that has
- * started with this one. */
+/* Adds one host's part of the start share to each bucket.  Called for each
+ * host that is first received from shortly after this one has started. */
 static void
-join_start(quotas_t *quotas, int64_t now_ms)
+add_start_share(quotas_t *quotas, int64_t now_ms)
 {
     for (size_t i = 0; i < QUOTA_BUCKETS && quotas->count > 0; i++) {
         quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
             quota_advance(quotas, quota, now_ms);
-            quota->level += START_PART * allowance(quotas, &quota->limit) /
+            quota->level += START_SHARE * max_excess(quotas, &quota->limit) /
                             (double)(quotas->host_count + 1);
         }
     }
 }
 
 static void
-host_received(quotas_t *quotas, quota_host_t *host,
-              const peer_datagram_t *datagram, int64_t now_ms)
+update_host(quotas_t *quotas, quota_host_t *host,
+            const peer_datagram_t *datagram, int64_t now_ms)
 {
     bool first = host->received_ms == 0;
     quotas->received_sum_ms +=
@@ -434,19 +445,19 @@
     }
     host->reachable = true;
     quotas->reachable_count++;
-    if (first && now_ms - quotas->started_ms < LEARN_MS) {
-        join_start(quotas, now_ms);
+    if (first && now_ms - quotas->started_ms < DISCOVERY_MS) {
+        add_start_share(quotas, now_ms);
     }
-    count_hosts(quotas, now_ms);
+    update_share(quotas, now_ms);
 }
 
 /* Subtracts what a host has spent since its last announcement.  What it spent
- * while it was out of touch was of its own part. */
+ * while it was unreachable came from its own share. */
 static void
 apply_usage(quotas_t *quotas, const quota_host_t *host,
             const peer_usage_t *usage, int64_t now_ms)
 {
-    quota_t *quota = find_hash(quotas, usage->workspace);
+    quota_t *quota = find_by_hash(quotas, usage->workspace);
     if (quota == NULL) {
         return;
     }
@@ -464,36 +475,37 @@
     quota->others_spent += delta;
 }
 
-/* Applies an announcement; repeated and overtaken ones change nothing.  A
- * host's clock may go back between two lives, so that incarnations have no
- * order. */
+/* Applies an announcement; duplicates and reordered ones are ignored.
+ * Incarnations are not compared by order, since a host's clock may have gone
+ * back between two starts. */
 void
 quotas_apply(quotas_t *quotas, uint64_t from, const peer_datagram_t *datagram,
              int64_t now_ms)
 {
-    quota_host_t *host = host_find(quotas, from);
+    quota_host_t *host = find_or_add_host(quotas, from);
     bool same = host != NULL && host->incarnation == datagram->incarnation;
     if (host == NULL || (same && datagram->sequence <= host->sequence) ||
         datagram->incarnation == host->previous_incarnation) {
         return;
     }
-    host_received(quotas, host, datagram, now_ms);
+    update_host(quotas, host, datagram, now_ms);
     for (size_t i = 0; i < datagram->usage_count; i++) {
         apply_usage(quotas, host, &datagram->usages[i], now_ms);
     }
 }
 
-/* Whether more was spent here than may go without an announcement. */
+/* Whether this host has spent more than may go unannounced until the next
+ * interval. */
 static bool
-has_news(const quotas_t *quotas)
+must_announce_early(const quotas_t *quotas)
 {
     for (size_t i = 0; i < QUOTA_BUCKETS; i++) {
         const quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
             double unannounced =
                 fabs((double)(int32_t)(quota->spent - quota->announced));
-            if (unannounced > UNANNOUNCED_PART *
-                                  allowance(quotas, &quota->limit) /
+            if (unannounced > UNANNOUNCED_SHARE *
+                                  max_excess(quotas, &quota->limit) /
                                   (double)(quotas->host_count + 1)) {
                 return true;
             }
@@ -502,15 +514,15 @@
     return false;
 }
 
-/* Fills an announcement of what this host has spent, for all known hosts;
- * false if none is due.  Without news it only shows that this host lives. */
+/* Fills an announcement of what this host has spent; false if none is due.
+ * One without usages is a heartbeat. */
 bool
 quotas_announce(quotas_t *quotas, peer_datagram_t *out, int64_t now_ms)
 {
     int64_t since = now_ms - quotas->announced_ms;
     int64_t interval = quotas_announce_interval_ms(quotas);
-    bool due =
-        since >= interval || (since >= interval / 2 && has_news(quotas));
+    bool due = since >= interval ||
+               (since >= interval / 2 && must_announce_early(quotas));
     if (quotas->count == 0 || quotas->host_count == 0 || !due) {
         return false;
     }
@@ -520,14 +532,14 @@
     out->sequence = ++quotas->sequence;
     out->usage_count = 0;
     for (size_t i = 0; i < QUOTA_BUCKETS; i++) {
-        size_t at = (quotas->next_bucket + i) % QUOTA_BUCKETS;
+        size_t bucket = (quotas->next_bucket + i) % QUOTA_BUCKETS;
         quota_t *quota;
-        CK_SLIST_FOREACH (quota, &quotas->buckets[at], entry) {
+        CK_SLIST_FOREACH (quota, &quotas->buckets[bucket], entry) {
             if (quota->spent == quota->announced) {
                 continue;
             }
             if (out->usage_count == PEER_USAGES_MAX) {
-                quotas->next_bucket = at;
+                quotas->next_bucket = bucket;
                 return true;
             }
             out->usages[out->usage_count++] =
--- a/relay/quota.h
+++ b/relay/quota.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_QUOTA_H
 #define CELERYSPOOL_QUOTA_H
 
-/* Rate limits of workspaces, in tokens or requests, over all hosts together.
- * No I/O and no clock. */
+/* Rate limits of workspaces, in tokens or requests, enforced over all hosts
+ * together.  No I/O and no clock. */
 
 #include "../kernel/peer-codec.h"
 
@@ -16,8 +16,8 @@
     double burst; /* units */
 } quota_limit_t;
 
-/* How far all hosts together may exceed a limit: in any window, the limit
- * times (1 + overage), plus slack. */
+/* In any window all hosts together may spend (rate * window_s + burst) *
+ * (1 + overage) + slack units. */
 typedef struct {
     double window_s;
     double overage;
@@ -26,13 +26,13 @@
 
 typedef struct {
     bool allowed;
-    int64_t retry_after_ms; /* when to come back, 0 where it never fits */
+    int64_t retry_after_ms; /* 0 if the cost can never be allowed */
 } quota_decision_t;
 
-/* The last announcement of one other host for a workspace. */
+/* What another host last announced for a workspace. */
 typedef struct {
-    uint32_t spent;   /* of its lifetime, wraps */
-    unsigned session; /* in which that was received; 0 for none */
+    uint32_t spent;   /* total of that host, wraps */
+    unsigned session; /* session of the announcement; 0 for none */
 } quota_report_t;
 
 typedef struct quota {
@@ -40,47 +40,47 @@
     uint64_t workspace; /* hash of its name */
     char name[CS_NAME_MAX];
     quota_limit_t limit;
-    unsigned config_seen; /* of the configuration that it was last in */
-    double level;        /* left for the hosts in touch; negative for a debt */
-    int64_t updated_ms;  /* when that was */
-    uint32_t spent;      /* by this host, of its lifetime, wraps */
-    uint32_t announced;  /* the same, as last announced */
-    double reserved;     /* of callers that were given a time to come back */
-    double others_rate;  /* spent by other hosts, units a ms */
-    double others_spent; /* the same, of the present slice */
-    int64_t slice_started_ms; /* begin of that slice */
-    quota_report_t *reports; /* by number of host; NULL until one has spoken */
+    unsigned config_seen; /* config_count when the limit was last set */
+    double level;         /* units in the bucket; negative for a debt */
+    int64_t updated_ms;   /* when the level was last computed */
+    uint32_t spent;       /* total of this host, wraps */
+    uint32_t announced;   /* value of spent in the last announcement */
+    double reserved;      /* units for rejected callers told when to retry */
+    double others_rate;   /* units that other hosts spend in a ms */
+    double others_spent;  /* units of other hosts in the current slice */
+    int64_t slice_started_ms;
+    quota_report_t *reports; /* by index of the host; NULL before the first */
     uint64_t allowed;
     uint64_t rejected;
 } quota_t;
 
-/* Another host that may spend. */
+/* Another host that may spend units of the limits. */
 typedef struct {
-    uint64_t host; /* its address; 0 for a free place */
-    int64_t confirmed_ms;
-    int64_t received_ms; /* 0 for never */
+    uint64_t host;        /* its address; 0 for a free slot */
+    int64_t confirmed_ms; /* when it was last listed, a member or announced */
+    int64_t received_ms;  /* time of its last announcement; 0 for never */
     uint64_t incarnation;
-    uint64_t previous_incarnation; /* incarnation before this one */
-    uint64_t sequence;
-    unsigned session; /* span without silence or restart, unique */
-    bool reachable;
+    uint64_t previous_incarnation;
+    uint64_t sequence; /* of its last announcement */
+    unsigned session;  /* unique; a new one after silence or a restart */
+    bool reachable;    /* it announced recently */
 } quota_host_t;
 
 typedef struct {
     CK_SLIST_HEAD(quota_bucket, quota) buckets[QUOTA_BUCKETS];
     quota_bounds_t bounds;
     quota_host_t hosts[QUOTA_HOSTS_MAX];
-    size_t host_count; /* known ones */
+    size_t host_count; /* slots of hosts in use */
     size_t reachable_count;
-    int64_t received_sum_ms; /* of the hosts in touch */
-    double share; /* of each limit that the hosts in touch may spend */
+    int64_t received_sum_ms; /* sum of received_ms of the reachable hosts */
+    double share; /* of each limit, for this host and the reachable ones */
     int64_t started_ms;
-    unsigned last_session; /* so far */
-    size_t count;
-    unsigned config_count;
+    unsigned last_session; /* highest session number given out */
+    size_t count;          /* workspaces with a limit */
+    unsigned config_count; /* configurations applied so far */
     uint64_t incarnation;
-    uint64_t sequence;
-    size_t next_bucket; /* of the next announcement */
+    uint64_t sequence;  /* of this host's last announcement */
+    size_t next_bucket; /* hash bucket where the next announcement starts */
     int64_t announced_ms;
 } quotas_t;
 
@@ -88,8 +88,8 @@
                  uint64_t incarnation, int64_t now_ms);
 void quotas_free(quotas_t *quotas);
 
-/* A configuration is in force: begin, set for each limited workspace, end.
- * Workspaces that were not set have no limit any more. */
+/* Applying a configuration: begin, set for each workspace with a limit, end.
+ * Workspaces that are not set lose their limit. */
 void quotas_config_begin(quotas_t *quotas);
 void quotas_config_set(quotas_t *quotas, const char *workspace,
                        const quota_limit_t *limit, int64_t now_ms);
@@ -106,7 +106,7 @@
 double quota_estimate_unreported(const quotas_t *quotas, const quota_t *quota,
                                  int64_t now_ms);
 
-/* Other hosts. */
+/* Sharing the limits with other hosts. */
 void quotas_confirm_host(quotas_t *quotas, uint64_t host, int64_t now_ms);
 void quotas_tick(quotas_t *quotas, int64_t now_ms);
 int64_t quotas_announce_interval_ms(const quotas_t *quotas);
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -4,59 +4,59 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Hosts that share the limits of workspaces, in virtual time: each announces
- * what it spends, datagrams take time and are lost, hosts are cut off and
- * start anew.  One bucket that sees everything judges them. */
+/* Simulates hosts that share the limits of workspaces, in virtual time: each
+ * announces what it spends, datagrams are delayed and lost, hosts are cut off
+ * and restart.  An exact bucket that sees every request is the reference. */
 
 #define HOSTS_MAX 96
-#define FLIGHT_MAX 65536
+#define DATAGRAMS_MAX 65536
 #define WINDOW_MS 8000
 #define OVERAGE 0.1
 #define SLACK 140000.0
 #define TICK_MS 100
 #define RUN_MS 40000
-#define SPACE "gleaner"
+#define WORKSPACE "gleaner"
 
 typedef struct {
-    int64_t at_ms;
+    int64_t arrives_ms;
     size_t to;
     size_t from;
     uint64_t incarnation;
     uint64_t sequence;
     size_t usage_count; /* of the one workspace: none or one */
     peer_usage_t usage;
-} flight_t;
+} sim_datagram_t;
 
 typedef struct {
     size_t hosts;
     quotas_t quotas[HOSTS_MAX];
     bool down[HOSTS_MAX];
     int group[HOSTS_MAX]; /* only hosts of one group reach each other */
-    flight_t flights[FLIGHT_MAX];
-    size_t flight_count;
+    sim_datagram_t in_flight[DATAGRAMS_MAX];
+    size_t in_flight_count;
     quota_limit_t limit;
-    double load;   /* units asked a ms, of all hosts */
-    double skew;   /* part of the load that the first host gets */
-    unsigned lost; /* datagrams of a hundred */
-    double large;  /* units of the largest request */
-    double run[RUN_MS];
-    double exact; /* left in the bucket that sees everything */
-    double asked;
-    double owed;     /* that the exact bucket allows */
-    double needless; /* of these, refused */
+    double load;        /* units requested a ms, of all hosts */
+    double skew;        /* share of the load that the first host gets */
+    unsigned lost;      /* datagrams of a hundred */
+    double large;       /* units of the largest request */
+    double run[RUN_MS]; /* units allowed in each ms */
+    double exact;       /* level of the exact bucket */
+    double requested;
+    double within_limit;     /* units that the exact bucket allows */
+    double wrongly_rejected; /* units within the limit that were rejected */
     rng_t rng;
 } sim_t;
 
 static const quota_bounds_t bounds = {8, OVERAGE, SLACK};
 
 static void
-sim_boot(sim_t *sim, size_t host, int64_t now)
+sim_start_host(sim_t *sim, size_t host, int64_t now)
 {
     quotas_t *quotas = &sim->quotas[host];
     quotas_free(quotas);
     quotas_init(quotas, &bounds, (uint64_t)now + 1, now);
     quotas_config_begin(quotas);
-    quotas_config_set(quotas, SPACE, &sim->limit, now);
+    quotas_config_set(quotas, WORKSPACE, &sim->limit, now);
     quotas_config_end(quotas);
     for (size_t i = 0; i < sim->hosts; i++) {
         if (i != host) {
@@ -77,7 +77,7 @@
     sim->large = 12000;
     for (size_t i = 0; i < hosts; i++) {
         quotas_init(&sim->quotas[i], &bounds, 1, 0);
-        sim_boot(sim, i, 0);
+        sim_start_host(sim, i, 0);
     }
     return sim;
 }
@@ -99,41 +99,41 @@
             rng_below(&sim->rng, 100) < sim->lost) {
             continue;
         }
-        ck_assert_uint_lt(sim->flight_count, FLIGHT_MAX);
-        flight_t *flight = &sim->flights[sim->flight_count++];
-        *flight =
-            (flight_t){.at_ms = now + 1 + (int64_t)rng_below(&sim->rng, 8),
-                       .to = to,
-                       .from = from,
-                       .incarnation = datagram->incarnation,
-                       .sequence = datagram->sequence,
-                       .usage_count = datagram->usage_count,
-                       .usage = datagram->usages[0]};
+        ck_assert_uint_lt(sim->in_flight_count, DATAGRAMS_MAX);
+        sim_datagram_t *item = &sim->in_flight[sim->in_flight_count++];
+        *item = (sim_datagram_t){
+            .arrives_ms = now + 1 + (int64_t)rng_below(&sim->rng, 8),
+            .to = to,
+            .from = from,
+            .incarnation = datagram->incarnation,
+            .sequence = datagram->sequence,
+            .usage_count = datagram->usage_count,
+            .usage = datagram->usages[0]};
     }
 }
 
 static void
 sim_deliver(sim_t *sim, int64_t now)
 {
-    static peer_datagram_t arrived = {.kind = PEER_QUOTAS};
-    size_t kept = 0;
-    for (size_t i = 0; i < sim->flight_count; i++) {
-        flight_t *flight = &sim->flights[i];
-        if (flight->at_ms > now) {
-            sim->flights[kept++] = *flight;
+    static peer_datagram_t datagram = {.kind = PEER_QUOTAS};
+    size_t remaining = 0;
+    for (size_t i = 0; i < sim->in_flight_count; i++) {
+        sim_datagram_t *item = &sim->in_flight[i];
+        if (item->arrives_ms > now) {
+            sim->in_flight[remaining++] = *item;
             continue;
         }
-        if (!sim->down[flight->to] &&
-            sim->group[flight->to] == sim->group[flight->from]) {
-            arrived.incarnation = flight->incarnation;
-            arrived.sequence = flight->sequence;
-            arrived.usage_count = flight->usage_count;
-            arrived.usages[0] = flight->usage;
-            quotas_apply(&sim->quotas[flight->to], flight->from + 1, &arrived,
+        if (!sim->down[item->to] &&
+            sim->group[item->to] == sim->group[item->from]) {
+            datagram.incarnation = item->incarnation;
+            datagram.sequence = item->sequence;
+            datagram.usage_count = item->usage_count;
+            datagram.usages[0] = item->usage;
+            quotas_apply(&sim->quotas[item->to], item->from + 1, &datagram,
                          now);
         }
     }
-    sim->flight_count = kept;
+    sim->in_flight_count = remaining;
 }
 
 static size_t
@@ -146,30 +146,31 @@
 }
 
 static void
-sim_ask(sim_t *sim, int64_t now)
+sim_request(sim_t *sim, int64_t now)
 {
     double cost = 200 + rng_unit(&sim->rng) * rng_unit(&sim->rng) * sim->large;
     size_t host = pick_host(sim);
     for (size_t i = 0; i < sim->hosts && sim->down[host]; i++) {
         host = (host + 1) % sim->hosts;
     }
-    sim->asked += cost;
+    sim->requested += cost;
     if (sim->down[host]) {
         return;
     }
     quotas_t *quotas = &sim->quotas[host];
-    bool owed = sim->exact >= cost;
+    bool within_limit = sim->exact >= cost;
     bool allowed =
-        quota_try_spend(quotas, quotas_find(quotas, SPACE), cost, now).allowed;
-    sim->exact -= owed ? cost : 0;
-    sim->owed += owed ? cost : 0;
-    sim->needless += owed && !allowed ? cost : 0;
+        quota_try_spend(quotas, quotas_find(quotas, WORKSPACE), cost, now)
+            .allowed;
+    sim->exact -= within_limit ? cost : 0;
+    sim->within_limit += within_limit ? cost : 0;
+    sim->wrongly_rejected += within_limit && !allowed ? cost : 0;
     sim->run[now] += allowed ? cost : 0;
 }
 
-/* Plays the time from one moment to another. */
+/* Runs the simulation from one moment to another. */
 static void
-sim_play(sim_t *sim, int64_t from, int64_t until)
+sim_run(sim_t *sim, int64_t from, int64_t until)
 {
     double mean = 200 + sim->large / 4;
     for (int64_t now = from; now < until; now++) {
@@ -190,41 +191,40 @@
         double expect = sim->load / mean;
         while (expect > 0) {
             if (rng_unit(&sim->rng) < expect) {
-                sim_ask(sim, now);
+                sim_request(sim, now);
             }
             expect -= 1;
         }
     }
 }
 
-/* The time before the load begins, in which the hosts find each other. */
+/* Runs without load until the hosts have found each other. */
 static void
-sim_lead(sim_t *sim)
+sim_discover(sim_t *sim)
 {
     double load = sim->load;
     sim->load = 0;
-    sim_play(sim, 0, 10000);
+    sim_run(sim, 0, 10000);
     sim->load = load;
 }
 
-/* A calm fleet, in which one workspace then sends nine times its usual for 14
- * s.
- */
+/* One workspace first sends about half of its limit, then nine times as much
+ * for 14 s. */
 static void
 sim_flood(sim_t *sim, double skew)
 {
     double rate = sim->limit.rate / 1000;
     sim->load = rate * 0.55;
-    sim_lead(sim);
-    sim_play(sim, 10000, 14000);
+    sim_discover(sim);
+    sim_run(sim, 10000, 14000);
     sim->load = rate * 5;
     sim->skew = skew;
-    sim_play(sim, 14000, 28000);
+    sim_run(sim, 14000, 28000);
     sim->load = rate * 0.55;
-    sim_play(sim, 28000, RUN_MS);
+    sim_run(sim, 28000, RUN_MS);
 }
 
-/* The largest sum over any window, as a part of what is allowed. */
+/* Returns the largest sum over any window, relative to what is allowed. */
 static double
 worst_window(const sim_t *sim)
 {
@@ -232,23 +232,24 @@
                          (1 + OVERAGE) +
                      SLACK;
     double sum = 0;
-    double most = 0;
+    double highest = 0;
     for (int64_t ms = 0; ms < RUN_MS; ms++) {
         sum += sim->run[ms];
         sum -= ms >= WINDOW_MS ? sim->run[ms - WINDOW_MS] : 0;
-        most = sum > most ? sum : most;
+        highest = sum > highest ? sum : highest;
     }
-    return most / allowed;
+    return highest / allowed;
 }
 
 static double
-needless_part(const sim_t *sim)
+wrongly_rejected_share(const sim_t *sim)
 {
-    return sim->owed > 0 ? sim->needless / sim->owed : 0;
+    return sim->within_limit > 0 ? sim->wrongly_rejected / sim->within_limit
+                                 : 0;
 }
 
-/* Half of a limit is asked, unevenly: nobody is refused. */
-START_TEST(nothing_below_a_limit_is_refused)
+/* About half of a limit is requested, unevenly over the hosts. */
+START_TEST(nothing_below_a_limit_is_rejected)
 {
     static const size_t fleets[] = {1, 4, 25, 78};
     for (size_t i = 0; i < sizeof(fleets) / sizeof(fleets[0]); i++) {
@@ -256,9 +257,9 @@
             sim_t *sim = sim_new(fleets[i], 300000, seed);
             sim->load = 165;
             sim->skew = 0.3;
-            sim_lead(sim);
-            sim_play(sim, 10000, RUN_MS);
-            ck_assert_double_eq(sim->needless, 0);
+            sim_discover(sim);
+            sim_run(sim, 10000, RUN_MS);
+            ck_assert_double_eq(sim->wrongly_rejected, 0);
             ck_assert_double_le(worst_window(sim), 1);
             sim_free(sim);
         }
@@ -266,8 +267,8 @@
 }
 END_TEST
 
-/* One workspace sends nine times its usual: the limit holds over all hosts,
- * and what is within it runs. */
+/* One workspace sends nine times its usual load: the limit holds over all
+ * hosts, and at least 95 % of it is used. */
 START_TEST(flood_stays_within_the_limit_and_uses_it)
 {
     static const double rates[] = {36000, 120000, 400000, 900000};
@@ -287,7 +288,7 @@
 }
 END_TEST
 
-/* The same in a large fleet, whose hosts announce less often. */
+/* The same flood in a large fleet, whose hosts announce less often. */
 START_TEST(flood_over_many_hosts_stays_within_the_limit)
 {
     for (uint64_t seed = 1; seed <= 2; seed++) {
@@ -299,115 +300,115 @@
 }
 END_TEST
 
-/* All hosts are killed within a flood: none begins with a burst that the
- * others have spent before. */
-START_TEST(a_started_fleet_does_not_spend_a_burst_again)
+/* All hosts restart during a flood: none may start with a full burst, which
+ * has been spent already. */
+START_TEST(a_restarted_fleet_does_not_spend_the_burst_again)
 {
     for (uint64_t seed = 1; seed <= 5; seed++) {
         sim_t *sim = sim_new(25, 120000, seed);
         sim->load = 120 * 5;
-        sim_lead(sim);
-        sim_play(sim, 10000, 17000);
+        sim_discover(sim);
+        sim_run(sim, 10000, 17000);
         for (size_t i = 0; i < sim->hosts; i++) {
             sim->down[i] = true;
         }
-        sim_play(sim, 17000, 18000);
+        sim_run(sim, 17000, 18000);
         for (size_t i = 0; i < sim->hosts; i++) {
             sim->down[i] = false;
-            sim_boot(sim, i, 18000);
+            sim_start_host(sim, i, 18000);
         }
-        sim_play(sim, 18000, RUN_MS);
+        sim_run(sim, 18000, RUN_MS);
         ck_assert_double_le(worst_window(sim), 1);
         sim_free(sim);
     }
 }
 END_TEST
 
-/* All hosts are killed on a calm day: after half a second nobody within the
- * limit is refused. */
-START_TEST(a_started_fleet_serves_what_is_usual)
+/* All hosts restart under the usual load: after half a second nothing within
+ * the limit is rejected. */
+START_TEST(a_restarted_fleet_serves_the_usual_load)
 {
     for (uint64_t seed = 1; seed <= 5; seed++) {
         sim_t *sim = sim_new(25, 120000, seed);
         sim->load = 66;
-        sim_lead(sim);
-        sim_play(sim, 10000, 17000);
-        ck_assert_double_eq(sim->needless, 0);
+        sim_discover(sim);
+        sim_run(sim, 10000, 17000);
+        ck_assert_double_eq(sim->wrongly_rejected, 0);
         for (size_t i = 0; i < sim->hosts; i++) {
-            sim_boot(sim, i, 17000);
+            sim_start_host(sim, i, 17000);
         }
-        sim_play(sim, 17000, 17500);
-        ck_assert_double_le(sim->needless, 66 * 300);
-        double before = sim->needless;
-        sim_play(sim, 17500, RUN_MS);
-        ck_assert_double_eq(sim->needless, before);
+        sim_run(sim, 17000, 17500);
+        ck_assert_double_le(sim->wrongly_rejected, 66 * 300);
+        double before = sim->wrongly_rejected;
+        sim_run(sim, 17500, RUN_MS);
+        ck_assert_double_eq(sim->wrongly_rejected, before);
         sim_free(sim);
     }
 }
 END_TEST
 
-/* A third of the hosts is cut off, each alone, in a flood: they and the others
+/* A third of the hosts is cut off, each alone, during a flood: all hosts
  * together stay within the limit. */
-START_TEST(hosts_that_are_cut_off_keep_to_their_part)
+START_TEST(hosts_that_are_cut_off_keep_to_their_share)
 {
     for (uint64_t seed = 1; seed <= 5; seed++) {
         sim_t *sim = sim_new(25, 400000, seed);
         sim->load = 400 * 4;
-        sim_lead(sim);
-        sim_play(sim, 10000, 16000);
+        sim_discover(sim);
+        sim_run(sim, 10000, 16000);
         for (int i = 0; i < 9; i++) {
             sim->group[i] = i + 1;
         }
-        sim_play(sim, 16000, 26000);
+        sim_run(sim, 16000, 26000);
         memset(sim->group, 0, sizeof(sim->group));
-        sim_play(sim, 26000, RUN_MS);
+        sim_run(sim, 26000, RUN_MS);
         ck_assert_double_le(worst_window(sim), 1);
         sim_free(sim);
     }
 }
 END_TEST
 
-/* Two halves of a fleet are cut off from each other on a calm day. */
-START_TEST(halves_that_are_cut_off_serve_what_is_usual)
+/* Two halves of a fleet are cut off from each other under the usual load. */
+START_TEST(halves_that_are_cut_off_serve_the_usual_load)
 {
     sim_t *sim = sim_new(24, 400000, 1);
     sim->load = 400 * 0.4;
-    sim_lead(sim);
-    sim_play(sim, 10000, 16000);
+    sim_discover(sim);
+    sim_run(sim, 10000, 16000);
     for (int i = 0; i < 12; i++) {
         sim->group[i] = 1;
     }
-    sim_play(sim, 16000, 26000);
+    sim_run(sim, 16000, 26000);
     memset(sim->group, 0, sizeof(sim->group));
-    sim_play(sim, 26000, RUN_MS);
-    ck_assert_double_le(needless_part(sim), 0.01);
+    sim_run(sim, 26000, RUN_MS);
+    ck_assert_double_le(wrongly_rejected_share(sim), 0.01);
     ck_assert_double_le(worst_window(sim), 1);
     sim_free(sim);
 }
 END_TEST
 
-/* Hosts are replaced one after the other in a flood. */
-START_TEST(hosts_that_start_in_turn_keep_the_limit)
+/* Hosts restart one after the other during a flood. */
+START_TEST(a_rolling_restart_keeps_the_limit)
 {
     for (uint64_t seed = 1; seed <= 5; seed++) {
         sim_t *sim = sim_new(25, 120000, seed);
         sim->load = 120 * 4;
-        sim_lead(sim);
-        sim_play(sim, 10000, 14000);
+        sim_discover(sim);
+        sim_run(sim, 10000, 14000);
         for (size_t i = 0; i < sim->hosts; i++) {
             int64_t at = 14000 + (int64_t)i * 800;
-            sim_boot(sim, i, at);
-            sim_play(sim, at, at + 800);
+            sim_start_host(sim, i, at);
+            sim_run(sim, at, at + 800);
         }
-        sim_play(sim, 34000, RUN_MS);
+        sim_run(sim, 34000, RUN_MS);
         ck_assert_double_le(worst_window(sim), 1);
         sim_free(sim);
     }
 }
 END_TEST
 
-/* Announcements that are repeated or overtaken are not subtracted again. */
-START_TEST(a_repeated_announcement_changes_nothing)
+/* Guards against subtracting a duplicate or a reordered announcement again. */
+START_TEST(duplicate_and_reordered_announcements_are_ignored)
 {
     quotas_t quotas;
     const quota_limit_t limit = {1000, 1000};
@@ -415,9 +416,9 @@
     quotas_init(&quotas, &none, 1, 0);
     quotas_confirm_host(&quotas, 7, 0);
     quotas_config_begin(&quotas);
-    quotas_config_set(&quotas, SPACE, &limit, 20000);
+    quotas_config_set(&quotas, WORKSPACE, &limit, 20000);
     quotas_config_end(&quotas);
-    quota_t *quota = quotas_find(&quotas, SPACE);
+    quota_t *quota = quotas_find(&quotas, WORKSPACE);
     static peer_datagram_t first = {
         .kind = PEER_QUOTAS, .incarnation = 5, .sequence = 1};
     quotas_apply(&quotas, 7, &first, 20000);
@@ -441,10 +442,10 @@
 }
 END_TEST
 
-/* Guards against a host that restarts with its clock set back and is taken for
- * silent: what it spends would count for nobody.  Late datagrams of its
- * earlier life still change nothing. */
-START_TEST(a_restart_with_an_earlier_clock_is_a_new_life)
+/* Guards against ignoring a host that restarts with its clock set back: no
+ * other host would count what it spends.  Late datagrams of its previous
+ * incarnation are still ignored. */
+START_TEST(a_restart_with_an_earlier_clock_is_a_new_incarnation)
 {
     quotas_t quotas;
     const quota_limit_t limit = {1000, 1000};
@@ -454,9 +455,9 @@
                                        .usage_count = 1};
     quotas_init(&quotas, &bounds, 1, 0);
     quotas_config_begin(&quotas);
-    quotas_config_set(&quotas, SPACE, &limit, 20000);
+    quotas_config_set(&quotas, WORKSPACE, &limit, 20000);
     quotas_config_end(&quotas);
-    quota_t *quota = quotas_find(&quotas, SPACE);
+    quota_t *quota = quotas_find(&quotas, WORKSPACE);
     datagram.usages[0] = (peer_usage_t){quota->workspace, 10, 10};
     quotas_apply(&quotas, 7, &datagram, 20000);
     double before = quota->level;
@@ -473,21 +474,21 @@
 }
 END_TEST
 
-/* A request that did not run gives back what it was charged, also to the
- * other hosts. */
-START_TEST(what_did_not_run_is_given_back)
+/* The refund of a request that did not run reaches the other hosts' buckets
+ * too. */
+START_TEST(a_refund_reaches_other_hosts)
 {
     sim_t *sim = sim_new(2, 10000, 1);
     sim->lost = 0;
-    sim_play(sim, 0, 21000);
-    quota_t *here = quotas_find(&sim->quotas[0], SPACE);
-    quota_t *there = quotas_find(&sim->quotas[1], SPACE);
+    sim_run(sim, 0, 21000);
+    quota_t *here = quotas_find(&sim->quotas[0], WORKSPACE);
+    quota_t *there = quotas_find(&sim->quotas[1], WORKSPACE);
     double full = quota_available(&sim->quotas[1], there, 21000);
     ck_assert(quota_try_spend(&sim->quotas[0], here, 9000, 21000).allowed);
-    sim_play(sim, 21000, 21250);
+    sim_run(sim, 21000, 21250);
     ck_assert_double_lt(there->level, full);
     quota_refund(&sim->quotas[0], here, 9000, 21250);
-    sim_play(sim, 21250, 23000);
+    sim_run(sim, 21250, 23000);
     ck_assert_double_eq_tol(quota_available(&sim->quotas[1], there, 23000),
                             full, 1);
     ck_assert_uint_eq(here->spent, 0);
@@ -495,38 +496,38 @@
 }
 END_TEST
 
-/* A request larger than any bucket gets a final refusal, with no time to come
- * back at; one a little larger than the burst runs. */
-START_TEST(a_request_beyond_any_limit_is_told_so)
+/* A request that no bucket can ever allow is rejected without a retry-after;
+ * one somewhat larger than the burst runs. */
+START_TEST(a_request_beyond_the_limit_gets_no_retry_after)
 {
     sim_t *sim = sim_new(1, 36000, 1);
-    sim_play(sim, 0, 21000);
-    quota_t *quota = quotas_find(&sim->quotas[0], SPACE);
-    quota_decision_t verdict =
+    sim_run(sim, 0, 21000);
+    quota_t *quota = quotas_find(&sim->quotas[0], WORKSPACE);
+    quota_decision_t decision =
         quota_try_spend(&sim->quotas[0], quota, 1000000, 21000);
-    ck_assert(!verdict.allowed);
-    ck_assert_int_eq(verdict.retry_after_ms, 0);
+    ck_assert(!decision.allowed);
+    ck_assert_int_eq(decision.retry_after_ms, 0);
     ck_assert(quota_try_spend(&sim->quotas[0], quota, 60000, 21000).allowed);
     sim_free(sim);
 }
 END_TEST
 
-/* Callers that are refused are given different times, so that they do not come
- * back at once for what only one of them can have. */
-START_TEST(refused_callers_come_back_in_order)
+/* Rejected callers get different retry-afters, so that they don't all retry at
+ * the same time for units that suffice for one of them. */
+START_TEST(rejected_callers_retry_in_order)
 {
     sim_t *sim = sim_new(1, 10000, 1);
-    sim_play(sim, 0, 21000);
-    quota_t *quota = quotas_find(&sim->quotas[0], SPACE);
+    sim_run(sim, 0, 21000);
+    quota_t *quota = quotas_find(&sim->quotas[0], WORKSPACE);
     while (quota_try_spend(&sim->quotas[0], quota, 5000, 21000).allowed) {
     }
     int64_t last = 0;
     for (int i = 0; i < 5; i++) {
-        quota_decision_t verdict =
+        quota_decision_t decision =
             quota_try_spend(&sim->quotas[0], quota, 5000, 21000);
-        ck_assert(!verdict.allowed);
-        ck_assert_int_gt(verdict.retry_after_ms, last);
-        last = verdict.retry_after_ms;
+        ck_assert(!decision.allowed);
+        ck_assert_int_gt(decision.retry_after_ms, last);
+        last = decision.retry_after_ms;
     }
     sim_free(sim);
 }
@@ -539,37 +540,37 @@
     quota_limit_t limit = {1000, 1000};
     quotas_init(&quotas, &bounds, 1, 0);
     quotas_config_begin(&quotas);
-    quotas_config_set(&quotas, SPACE, &limit, 20000);
+    quotas_config_set(&quotas, WORKSPACE, &limit, 20000);
     quotas_config_set(&quotas, "other", &limit, 20000);
     quotas_config_end(&quotas);
     ck_assert_uint_eq(quotas.count, 2);
-    quota_t *quota = quotas_find(&quotas, SPACE);
+    quota_t *quota = quotas_find(&quotas, WORKSPACE);
     quotas_config_begin(&quotas);
     limit.rate = 500;
-    quotas_config_set(&quotas, SPACE, &limit, 21000);
+    quotas_config_set(&quotas, WORKSPACE, &limit, 21000);
     quotas_config_end(&quotas);
-    ck_assert_ptr_eq(quotas_find(&quotas, SPACE), quota);
+    ck_assert_ptr_eq(quotas_find(&quotas, WORKSPACE), quota);
     ck_assert_double_eq(quota->limit.rate, 500);
     ck_assert_ptr_null(quotas_find(&quotas, "other"));
     quotas_config_begin(&quotas);
     limit.rate = 0;
-    quotas_config_set(&quotas, SPACE, &limit, 22000);
+    quotas_config_set(&quotas, WORKSPACE, &limit, 22000);
     quotas_config_end(&quotas);
-    ck_assert_ptr_null(quotas_find(&quotas, SPACE));
+    ck_assert_ptr_null(quotas_find(&quotas, WORKSPACE));
     quotas_free(&quotas);
 }
 END_TEST
 
-TEST_MAIN("quota", nothing_below_a_limit_is_refused,
+TEST_MAIN("quota", nothing_below_a_limit_is_rejected,
           flood_stays_within_the_limit_and_uses_it,
           flood_over_many_hosts_stays_within_the_limit,
-          a_started_fleet_does_not_spend_a_burst_again,
-          a_started_fleet_serves_what_is_usual,
-          hosts_that_are_cut_off_keep_to_their_part,
-          halves_that_are_cut_off_serve_what_is_usual,
-          hosts_that_start_in_turn_keep_the_limit,
-          a_repeated_announcement_changes_nothing,
-          a_restart_with_an_earlier_clock_is_a_new_life,
-          what_did_not_run_is_given_back,
-          a_request_beyond_any_limit_is_told_so,
-          refused_callers_come_back_in_order, limits_change_at_run_time)
+          a_restarted_fleet_does_not_spend_the_burst_again,
+          a_restarted_fleet_serves_the_usual_load,
+          hosts_that_are_cut_off_keep_to_their_share,
+          halves_that_are_cut_off_serve_the_usual_load,
+          a_rolling_restart_keeps_the_limit,
+          duplicate_and_reordered_announcements_are_ignored,
+          a_restart_with_an_earlier_clock_is_a_new_incarnation,
+          a_refund_reaches_other_hosts,
+          a_request_beyond_the_limit_gets_no_retry_after,
+          rejected_callers_retry_in_order, limits_change_at_run_time)
