--- a/relay/retry-rule.c
+++ b/relay/retry-rule.c
@@ -1,18 +1,18 @@
 #include "retry-rule.h"
 
-/* Sends of one request at most, whatever they came to: five servers that
- * refuse within milliseconds say that the service is full. */
+/* Maximum number of sends of a request, whatever their results: five
+ * rejections within milliseconds mean that the service is full. */
 #define SENDS_MAX 5
-/* A stream that has begun is worth more patience: all servers may be loading
- * weights or full for a second, and breaking it off throws away what its
- * caller has. */
-#define SENDS_BEGUN_MAX 12
-#define LEFT_WAIT_MS 500
-/* A retry with less time than this cannot bring an answer, ms: two ways to a
- * server and its shortest work. */
-#define LEFT_LEAST_MS 20
+/* A stream whose answer has started may be sent more often and wait in
+ * between: all servers may be loading weights or full for a second, and
+ * aborting it would waste what its caller has received. */
+#define SENDS_STARTED_MAX 12
+#define REMAINING_WAIT_MIN_MS 500
+/* With less time than this a retry can't bring an answer: it takes two network
+ * transfers and the shortest processing time of a server. */
+#define REMAINING_MIN_MS 20
 
-/* Whether a request may run a second time after it may have run once. */
+/* Whether a request that may have run may be sent again. */
 bool
 retry_can_rerun(route_kind_t kind, bool resumable)
 {
@@ -28,49 +28,55 @@
 }
 
 static bool
-has_room(const retry_state_t *ask, send_result_t fate)
+can_send_again(const retry_state_t *state, send_result_t result)
 {
-    return ask->sends < SENDS_MAX && ask->remaining_ms >= LEFT_LEAST_MS &&
-           (ask->within_share || fate == SEND_UNSENT);
+    return state->sends < SENDS_MAX &&
+           state->remaining_ms >= REMAINING_MIN_MS &&
+           (state->within_share || result == SEND_UNSENT);
 }
 
-/* What to do next.  "Not run" is told only where no send at all may have run;
- * an answer that has begun can only go on or be broken off. */
+/* Decides what to do after a send that failed.  A request is reported as not
+ * run only if none of its sends may have run.  An answer that has started can
+ * only be continued or aborted. */
 retry_decision_t
-retry_decide(const retry_state_t *ask, send_result_t fate)
+retry_decide(const retry_state_t *state, send_result_t result)
 {
-    bool room = has_room(ask, fate);
-    retry_decision_t over = ask->answer_started ? RETRY_ABORT : RETRY_FAIL;
-    switch (fate) {
+    bool can_send = can_send_again(state, result);
+    retry_decision_t failure =
+        state->answer_started ? RETRY_ABORT : RETRY_FAIL;
+    switch (result) {
         case SEND_UNSENT:
         case SEND_REJECTED:
-            if (room && ask->ran < ask->attempts_max) {
+            if (can_send && state->ran < state->attempts_max) {
                 return RETRY_NOW;
             }
-            if (ask->answer_started && ask->remaining_ms >= LEFT_WAIT_MS &&
-                ask->sends < SENDS_BEGUN_MAX && ask->ran < ask->attempts_max) {
+            if (state->answer_started &&
+                state->remaining_ms >= REMAINING_WAIT_MIN_MS &&
+                state->sends < SENDS_STARTED_MAX &&
+                state->ran < state->attempts_max) {
                 return RETRY_LATER;
             }
-            return ask->ran == 0 && !ask->answer_started ? RETRY_REJECT : over;
+            return state->ran == 0 && !state->answer_started ? RETRY_REJECT
+                                                             : failure;
         case SEND_UNKNOWN:
         case SEND_FAILED:
             break;
     }
-    if (room && ask->ran < ask->attempts_max &&
-        retry_can_rerun(ask->kind, ask->resumable)) {
+    if (can_send && state->ran < state->attempts_max &&
+        retry_can_rerun(state->kind, state->resumable)) {
         return RETRY_NOW;
     }
-    if (fate == SEND_FAILED && !ask->answer_started) {
+    if (result == SEND_FAILED && !state->answer_started) {
         return RETRY_PASS;
     }
-    return over;
+    return failure;
 }
 
-/* The word for logs. */
+/* Returns the name used in logs. */
 const char *
-send_result_name(send_result_t fate)
+send_result_name(send_result_t result)
 {
-    switch (fate) {
+    switch (result) {
         case SEND_UNSENT:
             return "unsent";
         case SEND_REJECTED:
@@ -83,11 +89,11 @@
     return "failed";
 }
 
-/* The word for logs. */
+/* Returns the name used in logs. */
 const char *
-retry_decision_name(retry_decision_t verdict)
+retry_decision_name(retry_decision_t decision)
 {
-    switch (verdict) {
+    switch (decision) {
         case RETRY_NOW:
             return "again";
         case RETRY_LATER:
--- a/relay/retry-share.h
+++ b/relay/retry-share.h
@@ -1,41 +1,41 @@
 #ifndef CELERYSPOOL_RETRY_SHARE_H
 #define CELERYSPOOL_RETRY_SHARE_H
 
-/* This host's share of the retries that all hosts together may send to a
+/* A host's share of the retry budget that all hosts together have for each
  * service.  No I/O and no clock. */
 
 #include "../kernel/base.h"
 
 #include <ck_queue.h>
 
-#define RETRY_WINDOW_SLICES 20 /* of a window */
+#define RETRY_WINDOW_SLICES 20
 #define RETRY_SLICES_KEPT (RETRY_WINDOW_SLICES + 1)
 
 typedef struct retry_share {
     CK_SLIST_ENTRY(retry_share) entry;
     char service[CS_NAME_MAX];
-    int64_t newest_slice; /* number of the newest one */
-    unsigned requests[RETRY_SLICES_KEPT];
-    unsigned retries[RETRY_SLICES_KEPT];
+    int64_t newest_slice;                 /* its number, counted from time 0 */
+    unsigned requests[RETRY_SLICES_KEPT]; /* by slice number, as a ring */
+    unsigned retries[RETRY_SLICES_KEPT];  /* by slice number, as a ring */
 } retry_share_t;
 
 typedef struct {
     CK_SLIST_HEAD(shares, retry_share) list;
-    double ratio;      /* retries that a request earns */
-    double slack;      /* besides, in each window, for this host alone */
-    int64_t window_ms; /* that both are counted over */
+    double ratio;      /* retries that a request adds to the budget */
+    double slack;      /* retries per window of this host besides the ratio */
+    int64_t window_ms; /* over which requests and retries are counted */
 } retry_shares_t;
 
-/* How many hosts share the slack, as one of them sees it. */
+/* How many hosts share the slack, as seen by one of them. */
 typedef struct {
     int64_t started_ms;
-    size_t peak_live; /* lately */
+    size_t peak_live; /* recent maximum of live hosts */
     int64_t peak_seen_ms;
 } retry_hosts_t;
 
 void retry_hosts_init(retry_hosts_t *hosts, int64_t now_ms);
-double retry_hosts_slack_share(retry_hosts_t *hosts, size_t live, size_t least,
-                               int64_t now_ms);
+double retry_hosts_slack_share(retry_hosts_t *hosts, size_t live,
+                               size_t hosts_min, int64_t now_ms);
 
 void retry_shares_init(retry_shares_t *shares, double ratio,
                        int64_t window_ms);
--- a/tests/test-retry-rule.c
+++ b/tests/test-retry-rule.c
@@ -2,7 +2,7 @@
 #include "test.h"
 
 static retry_state_t
-ask_of(unsigned bits, int ran)
+make_state(unsigned bits, int ran)
 {
     return (retry_state_t){.kind = (route_kind_t)(bits % 3),
                            .resumable = (bits / 3) % 2 == 1,
@@ -14,47 +14,48 @@
                            .remaining_ms = (bits / 288) % 2 == 1 ? 500 : 5};
 }
 
-/* A takedown is sent, its server breaks, and the router sends it once more: it
- * runs twice.  Or it tells the caller "not run", the caller sends it again,
- * and it runs twice.  Over all cases: what may have run is repeated only if
- * its kind allows it, and "not run" is told only if no send may have run. */
-START_TEST(nothing_that_may_have_run_is_repeated_or_called_not_run)
+/* Guards against running a request twice: its server fails and the router
+ * sends it again, or the router answers "not run" and the caller sends it
+ * again.  In all cases, a request that may have run is repeated only if its
+ * kind allows it, and rejected only if none of its sends may have run. */
+START_TEST(a_request_runs_twice_only_if_its_kind_allows_it)
 {
     for (unsigned bits = 0; bits < 576; bits++) {
         for (int ran = 0; ran < 4; ran++) {
-            for (int fate = SEND_UNSENT; fate <= SEND_FAILED; fate++) {
-                retry_state_t ask = ask_of(bits, ran);
-                if (fate >= SEND_UNKNOWN && ran == 0) {
-                    continue; /* this send counts itself */
+            for (int result = SEND_UNSENT; result <= SEND_FAILED; result++) {
+                retry_state_t state = make_state(bits, ran);
+                if (result >= SEND_UNKNOWN && ran == 0) {
+                    continue; /* ran includes this send */
                 }
-                retry_decision_t verdict =
-                    retry_decide(&ask, (send_result_t)fate);
-                bool may = retry_can_rerun(ask.kind, ask.resumable);
-                if (verdict == RETRY_NOW && ran > 0) {
-                    ck_assert(may || fate < SEND_UNKNOWN);
-                    ck_assert_int_lt(ran, ask.attempts_max);
+                retry_decision_t decision =
+                    retry_decide(&state, (send_result_t)result);
+                bool can_rerun = retry_can_rerun(state.kind, state.resumable);
+                if (decision == RETRY_NOW && ran > 0) {
+                    ck_assert(can_rerun || result < SEND_UNKNOWN);
+                    ck_assert_int_lt(ran, state.attempts_max);
                 }
-                if (verdict == RETRY_NOW && fate >= SEND_UNKNOWN) {
-                    ck_assert(may);
+                if (decision == RETRY_NOW && result >= SEND_UNKNOWN) {
+                    ck_assert(can_rerun);
                 }
-                if (verdict == RETRY_NOW && fate != SEND_UNSENT) {
-                    ck_assert(ask.within_share);
+                if (decision == RETRY_NOW && result != SEND_UNSENT) {
+                    ck_assert(state.within_share);
                 }
-                if (verdict == RETRY_LATER) {
-                    ck_assert(ask.answer_started);
-                    ck_assert_int_lt(fate, SEND_UNKNOWN);
-                    ck_assert_int_lt(ran, ask.attempts_max);
+                if (decision == RETRY_LATER) {
+                    ck_assert(state.answer_started);
+                    ck_assert_int_lt(result, SEND_UNKNOWN);
+                    ck_assert_int_lt(ran, state.attempts_max);
                 }
-                if (verdict == RETRY_REJECT) {
+                if (decision == RETRY_REJECT) {
                     ck_assert_int_eq(ran, 0);
-                    ck_assert(!ask.answer_started);
+                    ck_assert(!state.answer_started);
                 }
-                if (verdict == RETRY_ABORT) {
-                    ck_assert(ask.answer_started);
+                if (decision == RETRY_ABORT) {
+                    ck_assert(state.answer_started);
                 }
-                if (ask.answer_started) {
-                    ck_assert(verdict == RETRY_NOW || verdict == RETRY_LATER ||
-                              verdict == RETRY_ABORT);
+                if (state.answer_started) {
+                    ck_assert(decision == RETRY_NOW ||
+                              decision == RETRY_LATER ||
+                              decision == RETRY_ABORT);
                 }
             }
         }
@@ -62,52 +63,52 @@
 }
 END_TEST
 
-/* A server refuses a request that may run once, proving that it did not run.
- * The caller need not hear of it: another server takes it. */
-START_TEST(a_proven_refusal_goes_elsewhere)
+/* A server rejects a request that may run only once and states that it has not
+ * run: it is sent to another server instead of being rejected. */
+START_TEST(a_rejected_send_goes_to_another_server)
 {
-    retry_state_t ask = {.kind = ROUTE_ONCE,
-                         .attempts_max = 1,
-                         .sends = 1,
-                         .within_share = true,
-                         .remaining_ms = 1000};
-    ck_assert_int_eq(retry_decide(&ask, SEND_REJECTED), RETRY_NOW);
-    ask.within_share = false;
-    ck_assert_int_eq(retry_decide(&ask, SEND_REJECTED), RETRY_REJECT);
-    ck_assert_int_eq(retry_decide(&ask, SEND_UNSENT), RETRY_NOW);
+    retry_state_t state = {.kind = ROUTE_ONCE,
+                           .attempts_max = 1,
+                           .sends = 1,
+                           .within_share = true,
+                           .remaining_ms = 1000};
+    ck_assert_int_eq(retry_decide(&state, SEND_REJECTED), RETRY_NOW);
+    state.within_share = false;
+    ck_assert_int_eq(retry_decide(&state, SEND_REJECTED), RETRY_REJECT);
+    ck_assert_int_eq(retry_decide(&state, SEND_UNSENT), RETRY_NOW);
 }
 END_TEST
 
-/* Five servers in a row refuse.  The sixth is not asked. */
+/* After rejections by five servers the request is not sent to a sixth. */
 START_TEST(sends_are_bounded)
 {
-    retry_state_t ask = {.kind = ROUTE_IDEMPOTENT,
-                         .attempts_max = 9,
-                         .sends = 5,
-                         .within_share = true,
-                         .remaining_ms = 1000};
-    ck_assert_int_eq(retry_decide(&ask, SEND_REJECTED), RETRY_REJECT);
+    retry_state_t state = {.kind = ROUTE_IDEMPOTENT,
+                           .attempts_max = 9,
+                           .sends = 5,
+                           .within_share = true,
+                           .remaining_ms = 1000};
+    ck_assert_int_eq(retry_decide(&state, SEND_REJECTED), RETRY_REJECT);
 }
 END_TEST
 
-/* A stream's server dies and all others are loading weights: each refuses.
- * The stream waits for one of them instead of being broken off. */
-START_TEST(a_begun_stream_outlasts_a_rollout)
+/* The server of a stream fails while all others are loading weights and reject
+ * it.  The stream waits for one of them instead of being aborted. */
+START_TEST(a_started_stream_waits_during_a_rollout)
 {
-    retry_state_t ask = {.kind = ROUTE_STREAM,
-                         .resumable = true,
-                         .attempts_max = 2,
-                         .ran = 1,
-                         .sends = 5,
-                         .answer_started = true,
-                         .within_share = true,
-                         .remaining_ms = 8000};
-    ck_assert_int_eq(retry_decide(&ask, SEND_REJECTED), RETRY_LATER);
-    ask.remaining_ms = 100;
-    ck_assert_int_eq(retry_decide(&ask, SEND_REJECTED), RETRY_ABORT);
+    retry_state_t state = {.kind = ROUTE_STREAM,
+                           .resumable = true,
+                           .attempts_max = 2,
+                           .ran = 1,
+                           .sends = 5,
+                           .answer_started = true,
+                           .within_share = true,
+                           .remaining_ms = 8000};
+    ck_assert_int_eq(retry_decide(&state, SEND_REJECTED), RETRY_LATER);
+    state.remaining_ms = 100;
+    ck_assert_int_eq(retry_decide(&state, SEND_REJECTED), RETRY_ABORT);
 }
 END_TEST
 
-TEST_MAIN("retry-rule", a_begun_stream_outlasts_a_rollout,
-          nothing_that_may_have_run_is_repeated_or_called_not_run,
-          a_proven_refusal_goes_elsewhere, sends_are_bounded)
+TEST_MAIN("retry-rule", a_started_stream_waits_during_a_rollout,
+          a_request_runs_twice_only_if_its_kind_allows_it,
+          a_rejected_send_goes_to_another_server, sends_are_bounded)
--- a/tests/test-retry-share.c
+++ b/tests/test-retry-share.c
@@ -8,99 +8,99 @@
 #define SLACK 10.0
 #define RUN_MS 60000
 
-/* A service is in trouble and everything could be retried.  Over any window
- * the retries of a host stay within its share, however the load comes. */
+/* During an outage of a service every request could be retried.  In any window
+ * the retries of a host stay within its share, whatever the load. */
 START_TEST(no_window_holds_more_than_the_share)
 {
     for (uint64_t seed = 1; seed <= 20; seed++) {
         rng_t rng = {seed};
-        static int firsts[RUN_MS];
-        static int again[RUN_MS];
+        static int requests[RUN_MS];
+        static int retries[RUN_MS];
         retry_shares_t shares;
         retry_shares_init(&shares, RATIO, WINDOW_MS);
         shares.slack = SLACK;
         for (int ms = 0; ms < RUN_MS; ms++) {
             bool busy = ms / 7000 % 2 == 0;
-            firsts[ms] = rng_below(&rng, 100) < (busy ? 10 : 1);
-            again[ms] = 0;
-            if (firsts[ms] > 0) {
+            requests[ms] = rng_below(&rng, 100) < (busy ? 10 : 1);
+            retries[ms] = 0;
+            if (requests[ms] > 0) {
                 retry_share_earn(&shares, "s", ms);
             }
             if (rng_below(&rng, 100) < 10 &&
                 retry_share_can_spend(&shares, "s", ms)) {
                 retry_share_spend(&shares, "s", ms);
-                again[ms] = 1;
+                retries[ms] = 1;
             }
         }
         retry_shares_free(&shares);
-        int first_sum = 0;
-        int again_sum = 0;
+        int request_sum = 0;
+        int retry_sum = 0;
         for (int ms = 0; ms < RUN_MS; ms++) {
-            first_sum += firsts[ms];
-            again_sum += again[ms];
+            request_sum += requests[ms];
+            retry_sum += retries[ms];
             if (ms >= WINDOW_MS) {
-                first_sum -= firsts[ms - WINDOW_MS];
-                again_sum -= again[ms - WINDOW_MS];
+                request_sum -= requests[ms - WINDOW_MS];
+                retry_sum -= retries[ms - WINDOW_MS];
             }
-            /* What the ratio earned in the slice that has just left the
-             * window may still have been spent: one slice of 20. */
-            ck_assert_double_le(again_sum,
-                                RATIO * first_sum + SLACK + 0.2 * 100);
+            /* Budget from requests in the slice that has just left the window
+             * may still be spent: one slice of 20. */
+            ck_assert_double_le(retry_sum,
+                                RATIO * request_sum + SLACK + 0.2 * 100);
         }
     }
 }
 END_TEST
 
-/* Requests that came in the window that ends there, in the one before it, or
- * in the one half a window before: whichever has most counts. */
+/* Returns the most requests of three windows: the one that ends at a time, the
+ * one that ends half a window earlier and the one before it. */
 static int
-firsts_for(const int *sums, int ms)
+max_requests(const int *sums, int ms)
 {
     static const int back[] = {0, WINDOW_MS / 2, WINDOW_MS};
-    int most = 0;
+    int highest = 0;
     for (size_t i = 0; i < sizeof(back) / sizeof(back[0]); i++) {
         int end = ms - back[i];
         int begin = end - WINDOW_MS;
         int sum = (end >= 0 ? sums[end + 1] : 0) -
                   (begin >= 0 ? sums[begin + 1] : 0);
-        most = sum > most ? sum : most;
+        highest = sum > highest ? sum : highest;
     }
-    return most;
+    return highest;
 }
 
-/* The same where troubles come in bursts nearly a window apart, by the windows
- * that the service's owner judges. */
+/* The same with short outages nearly a window apart, checked against the
+ * requests of the windows on which the limit is defined. */
 START_TEST(bursts_stay_within_the_share)
 {
     for (uint64_t seed = 1; seed <= 100; seed++) {
         rng_t rng = {seed};
-        static int firsts[RUN_MS + 1]; /* sums up to each ms */
-        static int again[RUN_MS + 1];
+        static int requests[RUN_MS + 1]; /* total up to each ms */
+        static int retries[RUN_MS + 1];
         retry_shares_t shares;
         retry_shares_init(&shares, RATIO, WINDOW_MS);
         shares.slack = SLACK;
         for (int ms = 0; ms < RUN_MS; ms++) {
             bool busy = ms / 7000 % 2 == 0;
-            bool trouble = rng_below(&rng, 4000) == 0 || ms % 9700 < 200;
-            bool came = rng_below(&rng, 100) < (busy ? 10 : 1);
-            bool more = trouble && retry_share_can_spend(&shares, "s", ms);
-            if (came) {
+            bool outage = rng_below(&rng, 4000) == 0 || ms % 9700 < 200;
+            bool requested = rng_below(&rng, 100) < (busy ? 10 : 1);
+            bool retried = outage && retry_share_can_spend(&shares, "s", ms);
+            if (requested) {
                 retry_share_earn(&shares, "s", ms);
             }
-            if (more) {
+            if (retried) {
                 retry_share_spend(&shares, "s", ms);
             }
-            firsts[ms + 1] = firsts[ms] + (came ? 1 : 0);
-            again[ms + 1] = again[ms] + (more ? 1 : 0);
+            requests[ms + 1] = requests[ms] + (requested ? 1 : 0);
+            retries[ms + 1] = retries[ms] + (retried ? 1 : 0);
         }
         retry_shares_free(&shares);
         for (int ms = WINDOW_MS; ms < RUN_MS; ms++) {
-            int sum = again[ms + 1] - again[ms + 1 - WINDOW_MS];
-            /* The load falls to a tenth from one moment to the next: what was
-             * earned before is spent still, by half a second's worth at most.
-             * A host is given eight tenths of its slack. */
+            int sum = retries[ms + 1] - retries[ms + 1 - WINDOW_MS];
+            /* The load drops to a tenth at once: budget from before the drop
+             * is still spent, at most that of half a second.  A host has only
+             * 0.8 of its part of the slack. */
             ck_assert_msg(
-                sum <= RATIO * (firsts_for(firsts, ms) + 50) + SLACK / 0.8,
+                sum <= RATIO * (max_requests(requests, ms) + 50) + SLACK / 0.8,
                 "seed %d: %d retries up to %d ms", (int)seed, sum, ms);
         }
     }
@@ -109,8 +109,8 @@
 
 #define HOSTS_MAX 31
 #define SLACK_ALL 160.0
-/* Membership tells of a start or an end this late, ms. */
-#define HEARD_MS 4000
+/* Delay until membership reports that a host has started. */
+#define MEMBERSHIP_DELAY_MS 4000
 #define STEP_MS 20
 
 typedef struct {
@@ -128,30 +128,32 @@
     host->started_ms = now;
 }
 
-/* How many others a host knows: those that run since before news takes. */
+/* Returns how many live hosts a host knows, itself included. */
 static size_t
-known(const host_t *hosts, int count, int self, int64_t now)
+live_hosts(const host_t *hosts, int count, int self, int64_t now)
 {
     size_t live = 1;
     for (int i = 0; i < count; i++) {
-        live += i != self && now - hosts[i].started_ms > HEARD_MS ? 1 : 0;
+        live += i != self && now - hosts[i].started_ms > MEMBERSHIP_DELAY_MS
+                    ? 1
+                    : 0;
     }
     return live;
 }
 
-/* One step of one host: requests come, and in trouble each could be retried;
- * gives the retries that were sent. */
+/* Simulates one step of one host: requests arrive, and during an outage each
+ * could be retried.  Returns how many retries were sent. */
 static int
-host_step(host_t *host, rng_t *rng, bool trouble, int64_t now, int *came)
+host_step(host_t *host, rng_t *rng, bool outage, int64_t now, int *requested)
 {
     int sent = 0;
     for (int i = 0; i < 2; i++) {
         bool first = rng_below(rng, 100) < 40;
         if (first) {
             retry_share_earn(&host->shares, "s", now);
-            (*came)++;
+            (*requested)++;
         }
-        if (trouble && retry_share_can_spend(&host->shares, "s", now)) {
+        if (outage && retry_share_can_spend(&host->shares, "s", now)) {
             retry_share_spend(&host->shares, "s", now);
             sent++;
         }
@@ -159,16 +161,17 @@
     return sent;
 }
 
-/* All hosts together send one retry too many and the service is overrun: hosts
- * restart one after the other or all at once in the middle of trouble, do not
- * know what they spent, and hear late of each other. */
-START_TEST(hosts_that_restart_stay_within_the_sum)
+/* Guards against exceeding the limit of all hosts together, which overloads
+ * the service: hosts restart one after the other or all at once during an
+ * outage, don't know what they have spent, and learn of each other with a
+ * delay. */
+START_TEST(restarting_hosts_stay_within_the_common_limit)
 {
     for (uint64_t seed = 1; seed <= 60; seed++) {
         rng_t rng = {seed};
         static host_t hosts[HOSTS_MAX];
-        static int firsts[RUN_MS + 1];
-        static int again[RUN_MS + 1];
+        static int requests[RUN_MS + 1];
+        static int retries[RUN_MS + 1];
         int count = seed % 2 == 0 ? 4 : HOSTS_MAX;
         int next = 0;
         memset(hosts, 0, sizeof(hosts));
@@ -177,10 +180,10 @@
             host_start(&hosts[i], -20000);
         }
         for (int ms = 0; ms < RUN_MS; ms += STEP_MS) {
-            /* Nearly always, but not right before all restart at once: what
-             * they spent is then known to nobody. */
-            bool trouble = ms / 3000 % 3 != 0 && (ms < 34000 || ms >= 45000);
-            int came = 0;
+            /* No outage right before all hosts restart at once, since then no
+             * host knows what was spent. */
+            bool outage = ms / 3000 % 3 != 0 && (ms < 34000 || ms >= 45000);
+            int requested = 0;
             int sent = 0;
             if (ms >= 20000 && ms < 40000 && ms % 2000 == 0) {
                 host_start(&hosts[next++ % count], ms);
@@ -192,34 +195,34 @@
             }
             for (int i = 0; i < count; i++) {
                 hosts[i].shares.slack =
-                    SLACK_ALL *
-                    retry_hosts_slack_share(&hosts[i].hosts,
-                                            known(hosts, count, i, ms), 0, ms);
-                sent += host_step(&hosts[i], &rng, trouble, ms, &came);
+                    SLACK_ALL * retry_hosts_slack_share(
+                                    &hosts[i].hosts,
+                                    live_hosts(hosts, count, i, ms), 0, ms);
+                sent += host_step(&hosts[i], &rng, outage, ms, &requested);
             }
             for (int at = ms; at < ms + STEP_MS; at++) {
-                firsts[at + 1] = firsts[ms] + came;
-                again[at + 1] = again[ms] + sent;
+                requests[at + 1] = requests[ms] + requested;
+                retries[at + 1] = retries[ms] + sent;
             }
         }
         for (int i = 0; i < count; i++) {
             retry_shares_free(&hosts[i].shares);
         }
         for (int ms = WINDOW_MS; ms < RUN_MS; ms++) {
-            int sum = again[ms + 1] - again[ms + 1 - WINDOW_MS];
+            int sum = retries[ms + 1] - retries[ms + 1 - WINDOW_MS];
             ck_assert_msg(
-                sum <= RATIO * firsts_for(firsts, ms) + SLACK_ALL,
+                sum <= RATIO * max_requests(requests, ms) + SLACK_ALL,
                 "seed %d: %d retries of all hosts up to %d ms, %d requests",
-                (int)seed, sum, ms, firsts_for(firsts, ms));
+                (int)seed, sum, ms, max_requests(requests, ms));
         }
     }
 }
 END_TEST
 
-/* Callers are refused for a share that was spent: two troubles come nearly a
- * window apart, and what was spent in the first is forgotten a little early,
- * so both together send twice the slack within one window. */
-START_TEST(what_was_spent_counts_for_a_whole_window)
+/* Guards against retries that are forgotten slightly too early: two outages
+ * nearly a window apart would together spend twice the slack within one
+ * window. */
+START_TEST(a_retry_counts_for_a_whole_window)
 {
     retry_shares_t shares;
     retry_shares_init(&shares, 0, WINDOW_MS);
@@ -246,7 +249,6 @@
 END_TEST
 
 TEST_MAIN("retry-share", no_window_holds_more_than_the_share,
-          bursts_stay_within_the_share,
-          what_was_spent_counts_for_a_whole_window,
-          hosts_that_restart_stay_within_the_sum,
+          bursts_stay_within_the_share, a_retry_counts_for_a_whole_window,
+          restarting_hosts_stay_within_the_common_limit,
           services_have_shares_of_their_own)
