--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -1,34 +1,35 @@
 #include "peer-loads.h"
 
-/* The load that this answers: many hosts place small prompts at the same
- * servers.  Each has little at any one of them, and all of them together fill
- * it, so what is not announced adds up to most of a server's queue. */
+/* Many hosts may send small prompts to the same servers.  Each host has little
+ * load on any one server, but together they fill it, so unannounced load can
+ * add up to most of a server's queue.  The steps are therefore small. */
 
-/* Unread tokens that go without an announcement: a few ms of a server's time.
- */
-#define STEP_TOKENS 256
-/* Tokens brought into a server's cache that go without one: a small part of
- * the least room that an engine has. */
+/* Prompt tokens sent, or change of the unread ones, that are announced: a few
+ * ms of a server's time. */
+#define UNREAD_STEP_TOKENS 256
+/* Tokens added to a server's cache that are announced: a small part of the
+ * smallest cache of an engine. */
 #define FILLED_STEP_TOKENS 4000
-/* What has not changed is repeated, ms, before it is taken for outdated. */
+/* An unchanged load is repeated after this time, before peers discard it as
+ * outdated. */
 #define REPEAT_MS 400
 
 static bool
-has_news(const server_t *server, int64_t now)
+needs_announcement(const server_t *server, int64_t now)
 {
     double change = server->own_unread - server->announced_unread;
     uint32_t filled = server->filled - server->announced_filled;
-    bool sent = server->sent - server->announced_sent >= STEP_TOKENS;
+    bool sent = server->sent - server->announced_sent >= UNREAD_STEP_TOKENS;
     bool emptied = server->own_unread <= 0 && server->announced_unread > 0;
     bool repeat =
         server->own_unread > 0 && now - server->announced_ms >= REPEAT_MS;
-    return change >= STEP_TOKENS || change <= -STEP_TOKENS || emptied ||
-           sent || repeat || filled >= FILLED_STEP_TOKENS ||
+    return change >= UNREAD_STEP_TOKENS || change <= -UNREAD_STEP_TOKENS ||
+           emptied || sent || repeat || filled >= FILLED_STEP_TOKENS ||
            (now < server->loading_ms &&
             server->own_running != server->announced_running);
 }
 
-/* Loads that find no room leave with the next datagram. */
+/* Loads that exceed the datagram are sent with the next one. */
 bool
 peer_loads_collect(servers_t *servers, peer_datagram_t *out, int64_t now_ms)
 {
@@ -40,7 +41,7 @@
             break;
         }
         if (server->gone || !server->info.engine ||
-            !has_news(server, now_ms)) {
+            !needs_announcement(server, now_ms)) {
             continue;
         }
         server->announced_unread = server->own_unread;
@@ -58,7 +59,7 @@
     return out->load_count > 0;
 }
 
-/* Applies the loads of another daemon, named by its address. */
+/* Applies the loads of another daemon, identified by its address. */
 void
 peer_loads_apply(servers_t *servers, uint64_t host,
                  const peer_datagram_t *datagram, int64_t now_ms)
--- a/relay/peer-loads.h
+++ b/relay/peer-loads.h
@@ -1,12 +1,12 @@
 #ifndef CELERYSPOOL_PEER_LOADS_H
 #define CELERYSPOOL_PEER_LOADS_H
 
-/* The daemons' announcements of their requests at servers.  No I/O. */
+/* Announcements of the load that each daemon has put on servers.  No I/O. */
 
 #include "../kernel/peer-codec.h"
 #include "servers.h"
 
-/* Fills a datagram with the loads that have changed enough; false if there is
+/* Fills a datagram with the loads that must be announced; false if there are
  * none. */
 bool peer_loads_collect(servers_t *servers, peer_datagram_t *out,
                         int64_t now_ms);
--- a/tests/test-peer-loads.c
+++ b/tests/test-peer-loads.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static server_t *
-put_engine(servers_t *servers, const char *id)
+add_engine(servers_t *servers, const char *id)
 {
     server_entry_t entry = {.slots = 64, .engine = true, .weights = 1};
     str_copy(entry.id, sizeof(entry.id), id);
@@ -12,7 +12,7 @@
     return servers_put(servers, &entry);
 }
 
-/* The same engine as two hosts know it. */
+/* The same engine in the tables of two hosts. */
 typedef struct {
     servers_t *here;
     servers_t *there;
@@ -25,8 +25,8 @@
 {
     pair->here = servers_new();
     pair->there = servers_new();
-    pair->mine = put_engine(pair->here, "e1");
-    pair->theirs = put_engine(pair->there, "e1");
+    pair->mine = add_engine(pair->here, "e1");
+    pair->theirs = add_engine(pair->there, "e1");
 }
 
 static void
@@ -36,8 +36,8 @@
     servers_free(pair->there);
 }
 
-/* Guards against a queue that is made of small prompts of many hosts, none of
- * which is worth an announcement by itself. */
+/* Guards against a queue of small prompts of many hosts that goes unannounced
+ * because each host's part is small. */
 START_TEST(small_prompts_are_announced)
 {
     static peer_datagram_t datagram;
@@ -53,9 +53,9 @@
 }
 END_TEST
 
-/* Guards against a full server that looks idle: what waits there for long has
- * not changed, and an old announcement is not believed. */
-START_TEST(what_goes_on_waiting_is_announced_again)
+/* Guards against a full server that looks idle: its load has not changed for
+ * some time, and peers discard an old announcement. */
+START_TEST(unchanged_load_is_announced_again)
 {
     static peer_datagram_t datagram;
     pair_t pair;
@@ -76,9 +76,10 @@
 }
 END_TEST
 
-/* Guards against a server that looks idle as soon as it has caught up: what
- * others had it read is booked, and falls slower than it is read. */
-START_TEST(what_others_send_is_booked)
+/* Guards against a server that looks idle as soon as it has caught up: tokens
+ * that other hosts sent to it stay booked for longer than it takes to read
+ * them. */
+START_TEST(tokens_of_other_hosts_are_booked)
 {
     static peer_datagram_t datagram;
     pair_t pair;
@@ -99,11 +100,11 @@
 END_TEST
 
 /* A host that has just started receives loads of servers it does not know. */
-START_TEST(loads_of_unknown_servers_do_nothing)
+START_TEST(loads_of_unknown_servers_are_ignored)
 {
     static peer_datagram_t datagram = {.kind = PEER_LOADS, .load_count = 1};
     servers_t *servers = servers_new();
-    server_t *server = put_engine(servers, "e1");
+    server_t *server = add_engine(servers, "e1");
     datagram.loads[0] = (peer_load_t){.server = server->key + 1, .unread = 5};
     peer_loads_apply(servers, 1, &datagram, 10);
     ck_assert_double_eq(server_others_unread(server, 10), 0);
@@ -112,5 +113,5 @@
 END_TEST
 
 TEST_MAIN("peer-loads", small_prompts_are_announced,
-          what_goes_on_waiting_is_announced_again, what_others_send_is_booked,
-          loads_of_unknown_servers_do_nothing)
+          unchanged_load_is_announced_again, tokens_of_other_hosts_are_booked,
+          loads_of_unknown_servers_are_ignored)
