--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -205,7 +205,7 @@
     follow_t *next;
     follows->shares++;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        if (server->info.engine && !server->gone) {
+        if (server->info.engine && !server->removed) {
             share_holder(follows, server->info.id, server->info.addr);
         }
     }
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -88,11 +88,11 @@
         out->kv_store = true;
         return true;
     }
-    const server_t *from = servers_numbered(relay->servers, number);
+    const server_t *from = servers_find_by_number(relay->servers, number);
     /* Parts under the name of other weights may have been made after a load,
      * by a run that went on beside it. */
     if (from == NULL || from == to || from->info.weights != to->info.weights ||
-        !server_is_source(from, time_mono_ms())) {
+        !server_is_fetch_source(from, time_mono_ms())) {
         return false;
     }
     str_copy(out->addr, sizeof(out->addr), from->info.addr);
@@ -120,7 +120,7 @@
     if (number >= KV_STORE_NUMBER) {
         return relay->stores.all[number - KV_STORE_NUMBER].held;
     }
-    const server_t *server = servers_numbered(relay->servers, number);
+    const server_t *server = servers_find_by_number(relay->servers, number);
     return server != NULL ? server->held : NULL;
 }
 
@@ -151,7 +151,7 @@
     if (number >= KV_STORE_NUMBER) {
         return store_service(relay, number);
     }
-    const server_t *server = servers_numbered(relay->servers, number);
+    const server_t *server = servers_find_by_number(relay->servers, number);
     return server != NULL ? service_of(relay, server) : NULL;
 }
 
@@ -268,7 +268,7 @@
     if (number >= KV_STORE_NUMBER) {
         return relay->stores.all[number - KV_STORE_NUMBER].name;
     }
-    const server_t *server = servers_numbered(relay->servers, number);
+    const server_t *server = servers_find_by_number(relay->servers, number);
     return server != NULL ? server->info.id : "";
 }
 
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -118,7 +118,7 @@
 {
     log_record(LOG_INFO, "servers", "gone", "server=%s service=%s why=%s",
                server->info.id, server->info.service, why);
-    server->gone = true;
+    server->removed = true;
     cache_forget(relay, server);
     exchanges_drop(relay->exchanges, server->info.addr);
 }
@@ -139,10 +139,10 @@
         server_gone(relay, server, "removed");
         return;
     }
-    if (server->missing_ms == 0) {
+    if (server->missing_since_ms == 0) {
         log_record(LOG_INFO, "servers", "missing", "server=%s",
                    server->info.id);
-        server->missing_ms = now;
+        server->missing_since_ms = now;
     }
 }
 
@@ -150,7 +150,7 @@
 on_server_list(void *arg)
 {
     relay_t *relay = arg;
-    relay->servers->lists++;
+    relay->servers->list_generation++;
     object_cache_list(relay->objects, KIND_SERVERS);
 }
 
@@ -176,7 +176,7 @@
 forget_if_renewed(relay_t *relay, const server_t *server,
                   const server_entry_t *entry)
 {
-    if (server->info.born_ms != entry->born_ms ||
+    if (server->info.started_ms != entry->started_ms ||
         server->info.weights != entry->weights) {
         cache_forget(relay, server);
     }
@@ -188,10 +188,10 @@
 static bool
 is_news(const server_t *server, const server_entry_t *entry)
 {
-    return server == NULL || server->missing_ms != 0 ||
+    return server == NULL || server->missing_since_ms != 0 ||
            server->info.draining != entry->draining ||
            server->info.weights != entry->weights ||
-           server->info.born_ms != entry->born_ms ||
+           server->info.started_ms != entry->started_ms ||
            strcmp(server->info.addr, entry->addr) != 0 ||
            strcmp(server->info.service, entry->service) != 0;
 }
@@ -242,7 +242,8 @@
     object_cache_listed(relay->objects, KIND_SERVERS, at);
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         /* A list that is older than the entry says nothing of it. */
-        if (!server->gone && server->seen != relay->servers->lists &&
+        if (!server->removed &&
+            server->list_generation != relay->servers->list_generation &&
             server->revision <= at) {
             server_missing(relay, server);
         }
@@ -340,7 +341,7 @@
     int64_t now = time_mono_ms();
     server_t *server;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        if (!server->gone && server->missing_ms != 0 &&
+        if (!server->removed && server->missing_since_ms != 0 &&
             !store_recovering(relay, now)) {
             server_gone(relay, server, "not-back");
         }
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -16,15 +16,19 @@
 static bool
 has_news(const server_t *server, int64_t now)
 {
-    double change = server->own_unread - server->announced_unread;
-    uint32_t filled = server->filled - server->announced_filled;
-    bool sent = server->sent - server->announced_sent >= STEP_TOKENS;
-    bool emptied = server->own_unread <= 0 && server->announced_unread > 0;
-    bool repeat =
-        server->own_unread > 0 && now - server->announced_ms >= REPEAT_MS;
+    double change =
+        server->own_prefill_tokens - server->announced_prefill_tokens;
+    uint32_t filled =
+        server->unshared_tokens - server->announced_unshared_tokens;
+    bool sent =
+        server->sent_tokens - server->announced_sent_tokens >= STEP_TOKENS;
+    bool emptied = server->own_prefill_tokens <= 0 &&
+                   server->announced_prefill_tokens > 0;
+    bool repeat = server->own_prefill_tokens > 0 &&
+                  now - server->announced_ms >= REPEAT_MS;
     return change >= STEP_TOKENS || change <= -STEP_TOKENS || emptied ||
            sent || repeat || filled >= FILLED_STEP_TOKENS ||
-           (now < server->loading_ms &&
+           (now < server->loading_until_ms &&
             server->own_running != server->announced_running);
 }
 
@@ -39,21 +43,21 @@
         if (out->load_count == PEER_LOADS_MAX) {
             break;
         }
-        if (server->gone || !server->info.engine ||
+        if (server->removed || !server->info.engine ||
             !has_news(server, now_ms)) {
             continue;
         }
-        server->announced_unread = server->own_unread;
+        server->announced_prefill_tokens = server->own_prefill_tokens;
         server->announced_running = server->own_running;
-        server->announced_filled = server->filled;
+        server->announced_unshared_tokens = server->unshared_tokens;
         server->announced_ms = now_ms;
-        server->announced_sent = server->sent;
+        server->announced_sent_tokens = server->sent_tokens;
         out->loads[out->load_count++] =
             (peer_load_t){.server = server->key,
-                          .unread = (uint32_t)server->own_unread,
+                          .unread = (uint32_t)server->own_prefill_tokens,
                           .running = (uint32_t)server->own_running,
-                          .filled = server->filled,
-                          .sent = server->sent};
+                          .filled = server->unshared_tokens,
+                          .sent = server->sent_tokens};
     }
     return out->load_count > 0;
 }
@@ -65,16 +69,16 @@
 {
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
-        server_t *server = servers_keyed(servers, load->server);
+        server_t *server = servers_find_by_key(servers, load->server);
         if (server == NULL) {
             continue;
         }
-        const other_load_t report = {.host = host,
-                                     .received_ms = now_ms,
-                                     .unread = load->unread,
-                                     .running = (int)load->running,
-                                     .filled = load->filled,
-                                     .sent = load->sent};
-        server_peer_load(server, &report);
+        const server_peer_load_t report = {.host = host,
+                                           .received_ms = now_ms,
+                                           .prefill_tokens = load->unread,
+                                           .running = (int)load->running,
+                                           .unshared_tokens = load->filled,
+                                           .sent_tokens = load->sent};
+        server_apply_peer_load(server, &report);
     }
 }
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -16,7 +16,7 @@
         return; /* it is about the sender's requests alone */
     }
     int64_t weights = strtoll(load->version, NULL, 10);
-    server->loading_ms =
+    server->loading_until_ms =
         load->loading[0] != '\0' ? time_mono_ms() + LOADING_MS : 0;
     if (weights > server->info.weights) {
         server->info.weights = weights;
@@ -31,15 +31,16 @@
     if (server == NULL) {
         return;
     }
-    const other_load_t report = {.host = host,
-                                 .received_ms = time_mono_ms(),
-                                 .unread = fact->load.waiting_tokens,
-                                 .running = fact->load.running,
-                                 .filled = fact->load.filled};
+    const server_peer_load_t report = {
+        .host = host,
+        .received_ms = time_mono_ms(),
+        .prefill_tokens = fact->load.waiting_tokens,
+        .running = fact->load.running,
+        .unshared_tokens = fact->load.filled};
     take_weights(relay, server, &fact->load);
-    server_peer_load(server, &report);
+    server_apply_peer_load(server, &report);
     if (fact->load.at_server >= 0) {
-        server_load(server, fact->load.at_server, 0, time_mono_ms());
+        server_set_load(server, fact->load.at_server, 0, time_mono_ms());
     }
 }
 
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -122,7 +122,7 @@
         }
     }
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        if (!server->gone && server->info.engine) {
+        if (!server->removed && server->info.engine) {
             count += send_parts(peers, addr, server->info.id, server->held);
         }
     }
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -66,8 +66,8 @@
     fact->is_load = true;
     str_copy(fact->backend, sizeof(fact->backend), server->info.id);
     fact->load.running = server->own_running;
-    fact->load.waiting_tokens = (int)server->own_unread;
-    fact->load.filled = server->filled;
+    fact->load.waiting_tokens = (int)server->own_prefill_tokens;
+    fact->load.filled = server->unshared_tokens;
     fact->load.at_server = -1;
     return fact;
 }
@@ -78,7 +78,7 @@
 peers_notify_crowded(peers_t *peers, const server_t *server)
 {
     load_add(peers, server)->load.at_server =
-        server->load_running + server->load_waiting;
+        server->reported_running + server->reported_waiting;
 }
 
 /* ---- limits of workspaces ---- */
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -46,13 +46,13 @@
 static void
 server_lost(relay_t *relay, server_t *server)
 {
-    if (!server->silent) {
+    if (!server->unresponsive) {
         log_record(LOG_WARN, "servers", "silent",
                    "server=%s running=%d busy_ms=%lld", server->info.id,
                    server->own_running,
-                   (long long)(time_mono_ms() - server->busy_ms));
+                   (long long)(time_mono_ms() - server->busy_since_ms));
     }
-    server->silent = true;
+    server->unresponsive = true;
     exchanges_drop(relay->exchanges, server->info.addr);
     requests_abandon(relay, server);
 }
@@ -66,7 +66,7 @@
     if (server != NULL) {
         server->probing = false;
         if (result->whole) {
-            if (server->silent) {
+            if (server->unresponsive) {
                 log_record(LOG_INFO, "servers", "back", "server=%s",
                            server->info.id);
             }
@@ -104,10 +104,10 @@
     int64_t now = time_mono_ms();
     CLEAN_BUF buf_t head = {0};
     if (server->probing ||
-        (server->asked_ms != 0 && now - server->asked_ms < PROBE_EVERY_MS)) {
+        (server->probed_ms != 0 && now - server->probed_ms < PROBE_EVERY_MS)) {
         return;
     }
-    server->asked_ms = now;
+    server->probed_ms = now;
     server->probing = true;
     probe_t *probe = mem_zalloc(sizeof(*probe));
     probe->relay = relay;
@@ -129,7 +129,7 @@
     int64_t now = time_mono_ms();
     server_t *server;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        if (server_wants_probe(server, now)) {
+        if (server_needs_probe(server, now)) {
             probe_server(relay, server);
         }
     }
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -44,7 +44,7 @@
             "celeryspool_server{server=\"%s\",service=\"%s\",weights=\"%lld\","
             "usable=\"%d\"} %d\n",
             server->info.id, server->info.service,
-            (long long)server->info.weights, server_usable(server, now),
+            (long long)server->info.weights, server_is_usable(server, now),
             server->own_running);
 }
 
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -58,13 +58,13 @@
 may_serve(const request_t *request, const server_t *server, int64_t now)
 {
     if (strcmp(server->info.service, request->service) != 0 ||
-        !server_usable(server, now) || is_tried(request, server)) {
+        !server_is_usable(server, now) || is_tried(request, server)) {
         return false;
     }
     if (!request->engine) {
         return true;
     }
-    return server->info.engine && now >= server->loading_ms &&
+    return server->info.engine && now >= server->loading_until_ms &&
            strcmp(server->info.model, request->prompt.model) == 0 &&
            weights_allowed(request, server);
 }
@@ -72,20 +72,21 @@
 static double
 engine_wait_ms(server_t *server, int64_t now)
 {
-    double tokens = server->own_unread + server_others_unread(server, now);
-    if (server_load_fresh(server, now)) {
-        tokens += server->load_waiting * WAITING_UNREAD_TOKENS;
+    double tokens =
+        server->own_prefill_tokens + server_sum_peer_prefill(server, now);
+    if (server_has_recent_load(server, now)) {
+        tokens += server->reported_waiting * WAITING_UNREAD_TOKENS;
     }
-    double booked = server_booked(server, now);
+    double booked = server_update_backlog(server, now);
     tokens = booked > tokens ? booked : tokens;
-    return tokens * server->slowness / SERVER_READ_TOKENS_PER_MS +
+    return tokens * server->slowness / SERVER_PREFILL_TOKENS_PER_MS +
            server_slot_wait_ms(server, now);
 }
 
 static double
 plain_wait_ms(const server_t *server, int64_t now)
 {
-    int running = server_places_taken(server, now);
+    int running = server_count_in_flight(server, now);
     int over = running - server->info.slots + 1;
     return running * SLOT_FREE_MS + (over > 0 ? over * SLOT_TAKEN_MS : 0);
 }
@@ -135,12 +136,12 @@
     relay_t *relay = request->relay;
     memset(out, 0, sizeof(*out));
     out->id = server->number;
-    out->rate = SERVER_READ_TOKENS_PER_MS * 1000 / server->slowness;
+    out->rate = SERVER_PREFILL_TOKENS_PER_MS * 1000 / server->slowness;
     out->running = server->own_running;
     out->same_dc = strcmp(server->info.dc, relay->settings.dc) == 0;
     double wait = request->engine ? engine_wait_ms(server, now)
                                   : plain_wait_ms(server, now);
-    wait += now < server->full_ms ? FULL_MS : 0;
+    wait += now < server->full_until_ms ? FULL_MS : 0;
     if (!request->engine) {
         out->rank = place_weight(0, server->info.id);
         out->wait_ms = wait + preference_ms(request, server);
@@ -154,7 +155,7 @@
     /* The request's own part is read wherever it goes; what a slower server
      * takes longer for it counts as waiting. */
     wait += (request->prompt.prompt_tokens - view.shared) *
-            (server->slowness - 1) / SERVER_READ_TOKENS_PER_MS;
+            (server->slowness - 1) / SERVER_PREFILL_TOKENS_PER_MS;
     out->rank = place_weight(request->home, server->info.id);
     out->wait_ms = wait + preference_ms(request, server);
     return wait;
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -211,8 +211,8 @@
     http_head_copy(head, load->value, text, sizeof(text));
     if (sscanf(text, "%d,%d,%*d", &running, &waiting) == 2) {
         int64_t now = time_mono_ms();
-        server_load(server, running, waiting, now);
-        if (server->info.engine && server_crowded_news(server, now)) {
+        server_set_load(server, running, waiting, now);
+        if (server->info.engine && server_should_announce_load(server, now)) {
             peers_notify_crowded(relay->peers, server);
         }
     }
@@ -281,18 +281,18 @@
     server_t *server = request->server;
     int64_t now = time_mono_ms();
     if (head->status != 421) {
-        server->full_ms = now + FULL_PAUSE_MS;
+        server->full_until_ms = now + FULL_PAUSE_MS;
         return;
     }
     const header_t *id =
         http_head_find(head, wire_header_name(HEADER_SERVER_ID));
     if (id != NULL && !http_head_is(head, id->value, server->info.id)) {
         /* Another server has the address; its own entry tells where. */
-        server->misplaced = true;
+        server->address_taken = true;
         exchanges_drop(request->relay->exchanges, server->info.addr);
         return;
     }
-    server->full_ms = now + FULL_PAUSE_MS;
+    server->full_until_ms = now + FULL_PAUSE_MS;
     probe_server(request->relay, server);
 }
 
@@ -361,16 +361,16 @@
     /* What read_ms holds was worked out with the slowness known then. */
     if (request->engine && request->wait_ms < SPEED_WAIT_MS &&
         request->read_ms > SPEED_READ_MS) {
-        server_speed(server, request->read_ms / request->slowness,
-                     (double)(now - request->sent_ms) - FIRST_MS);
+        server_update_slowness(server, request->read_ms / request->slowness,
+                               (double)(now - request->sent_ms) - FIRST_MS);
     }
     request->began_ms = now;
     note_forecast(request, now);
-    server_read(server, request->unread);
+    server_subtract_prefill(server, request->unread);
     request->unread = 0;
     if (request->engine) {
         cache_note(request->relay, &request->prefix, server->number);
-        server_filled(
+        server_add_unshared(
             server, request->prefix.tokens - prompt_shared(&request->prompt));
     }
     if (request->saves) {
@@ -434,9 +434,9 @@
     if (request->server == NULL) {
         return;
     }
-    server_read(request->server, request->unread);
+    server_subtract_prefill(request->server, request->unread);
     request->unread = 0;
-    server_done(request->server);
+    server_remove_request(request->server);
     request->server = NULL;
 }
 
@@ -477,7 +477,7 @@
     server_t *server = request->server;
     switch (request->answer) {
         case ANSWER_BUFFER:
-            server_good(server);
+            server_record_success(server);
             request_first_answer(request);
             request_deliver(request, METER_ANSWERED, "answered");
             return;
@@ -485,14 +485,14 @@
             if (request->stream.part.len > 0) {
                 break; /* it ends within an event */
             }
-            server_good(server);
-            server_held_slot(server,
-                             (double)(time_mono_ms() - request->began_ms));
+            server_record_success(server);
+            server_observe_slot_time(
+                server, (double)(time_mono_ms() - request->began_ms));
             finish_stream(request);
             return;
         case ANSWER_FAILED:
             request->ran++;
-            server_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
+            server_record_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
             request_failed(request, FATE_FAILED);
             return;
         case ANSWER_REFUSED:
@@ -503,7 +503,7 @@
             break;
     }
     request->ran++;
-    server_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
+    server_record_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
     request_failed(request, FATE_UNKNOWN);
 }
 
@@ -517,8 +517,8 @@
             on_whole(request);
             return;
         case EXCHANGE_UNSENT:
-            server_fault(request->server, SERVER_FAULT_CONNECT,
-                         time_mono_ms());
+            server_record_fault(request->server, SERVER_FAULT_CONNECT,
+                                time_mono_ms());
             request_failed(request, FATE_UNSENT);
             return;
         case EXCHANGE_NO_ANSWER:
@@ -533,7 +533,7 @@
         return;
     }
     request->ran++;
-    server_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
+    server_record_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
     request_failed(request, FATE_UNKNOWN);
 }
 
@@ -571,7 +571,7 @@
     request->unread = request->prefix.tokens > request->cached
                           ? request->prefix.tokens - request->cached
                           : 0;
-    server_sent(server, request->unread, request->sent_ms);
+    server_add_request(server, request->unread, request->sent_ms);
     if (request->cached < request->prefix.tokens) {
         cache_note_pending(relay, &request->prefix, server->number);
     }
--- a/relay/request.c
+++ b/relay/request.c
@@ -157,7 +157,8 @@
     (void)fd;
     (void)what;
     if (request->server != NULL && request->phase == REQUEST_SENT) {
-        server_fault(request->server, SERVER_FAULT_SILENT, time_mono_ms());
+        server_record_fault(request->server, SERVER_FAULT_TIMEOUT,
+                            time_mono_ms());
     }
     if (request->ran == 0 &&
         (request->exchange == NULL || !exchange_sent(request->exchange))) {
--- a/relay/rollout-plan.c
+++ b/relay/rollout-plan.c
@@ -19,7 +19,7 @@
 static bool
 serves(const server_t *server, const char *model)
 {
-    return !server->gone && server->info.engine &&
+    return !server->removed && server->info.engine &&
            strcmp(server->info.model, model) == 0;
 }
 
@@ -45,8 +45,8 @@
     if (a->info.weights != b->info.weights) {
         return a->info.weights < b->info.weights;
     }
-    int busy_a = a->load_running + a->load_waiting;
-    int busy_b = b->load_running + b->load_waiting;
+    int busy_a = a->reported_running + a->reported_waiting;
+    int busy_b = b->reported_running + b->reported_waiting;
     if (busy_a != busy_b) {
         return busy_a < busy_b;
     }
@@ -63,7 +63,7 @@
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
         if (!serves(server, model) || server->info.weights >= version ||
-            server->ordered || !server_usable(server, now_ms) ||
+            server->ordered || !server_is_usable(server, now_ms) ||
             now_ms < server->order_after_ms) {
             continue;
         }
@@ -82,5 +82,5 @@
 rollout_may_order(const server_t *server, int64_t quiet_ms, int64_t now_ms)
 {
     return now_ms - quiet_ms >= ROLLOUT_QUIET_MS ||
-           server_running(server, now_ms) == 0;
+           server_count_running(server, now_ms) == 0;
 }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -217,7 +217,7 @@
     server_t *server = servers_find(job->rollout->relay->servers, job->server);
     if (server != NULL) {
         server->ordered = false;
-        server->loading_ms = 0;
+        server->loading_until_ms = 0;
         server->order_after_ms = time_mono_ms() + again_ms;
     }
     if (job->fetch != NULL) {
@@ -276,7 +276,7 @@
                server->info.id, job->model, (long long)job->version,
                (long long)server->info.weights,
                (long long)rollout->lease.fence, (long long)job->orders,
-               server_running(server, time_mono_ms()));
+               server_count_running(server, time_mono_ms()));
     job->state = JOB_ORDER;
     job_call(job, server, &head);
 }
@@ -290,7 +290,7 @@
     job->orders = orders;
     job->state = JOB_QUIET;
     job->quiet_ms = now;
-    server->loading_ms = now + ROLLOUT_QUIET_MS + ORDER_CALL_MS;
+    server->loading_until_ms = now + ROLLOUT_QUIET_MS + ORDER_CALL_MS;
     peers_notify_weights(job->rollout->relay->peers, server, job->version);
 }
 
@@ -332,7 +332,7 @@
         case 202:
             job->state = JOB_LOADING;
             job->next_ms = time_mono_ms() + REPORT_LAG_MS;
-            server->loading_ms = time_mono_ms() + ORDER_SPAN_MS;
+            server->loading_until_ms = time_mono_ms() + ORDER_SPAN_MS;
             peers_notify_weights(job->rollout->relay->peers, server,
                                  job->version);
             return;
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -67,7 +67,7 @@
 {
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
-        if (!server->gone && strcmp(server->info.id, id) == 0) {
+        if (!server->removed && strcmp(server->info.id, id) == 0) {
             return server;
         }
     }
@@ -76,11 +76,11 @@
 
 /* The server with a key, or NULL. */
 server_t *
-servers_keyed(const servers_t *servers, uint32_t key)
+servers_find_by_key(const servers_t *servers, uint32_t key)
 {
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
-        if (server->key == key && !server->gone) {
+        if (server->key == key && !server->removed) {
             return server;
         }
     }
@@ -89,7 +89,7 @@
 
 /* The server with a number, or NULL for an unused one. */
 server_t *
-servers_numbered(const servers_t *servers, uint16_t number)
+servers_find_by_number(const servers_t *servers, uint16_t number)
 {
     return number < SERVER_NUMBERS_MAX ? servers->numbered[number] : NULL;
 }
@@ -109,15 +109,15 @@
 static void
 server_renew(server_t *server)
 {
-    server->faults = 0;
-    server->closed_ms = 0;
-    server->full_ms = 0;
-    server->load_ms = 0;
-    server->booked = 0;
+    server->consecutive_faults = 0;
+    server->circuit_open_until_ms = 0;
+    server->full_until_ms = 0;
+    server->reported_ms = 0;
+    server->backlog_tokens = 0;
     server->error_share = 0;
     server->slowness = 1;
-    server->misplaced = false;
-    server->silent = false;
+    server->address_taken = false;
+    server->unresponsive = false;
 }
 
 /* Take an entry in; NULL if there is no number left for a new one. */
@@ -143,16 +143,16 @@
         /* Whoever ordered the load may have learnt of its end from this entry
          * too and notify nobody: without this the server would stay unused
          * here until the notice of its load expires. */
-        server->loading_ms = 0;
+        server->loading_until_ms = 0;
     }
-    bool renewed = server->info.born_ms != entry->born_ms ||
+    bool renewed = server->info.started_ms != entry->started_ms ||
                    strcmp(server->info.addr, entry->addr) != 0;
     server->info = *entry;
     if (renewed) {
         server_renew(server);
     }
-    server->missing_ms = 0;
-    server->seen = servers->lists;
+    server->missing_since_ms = 0;
+    server->list_generation = servers->list_generation;
     return server;
 }
 
@@ -173,7 +173,7 @@
     server_t *server;
     server_t *next;
     CK_LIST_FOREACH_SAFE (server, &servers->list, entry, next) {
-        if (server->gone && server->own_running == 0) {
+        if (server->removed && server->own_running == 0) {
             servers_remove(servers, server);
         }
     }
@@ -183,68 +183,72 @@
  * a part of its time for answers.  More than what is unread: it does not fall
  * to nothing where a server has just caught up. */
 double
-server_booked(server_t *server, int64_t now_ms)
+server_update_backlog(server_t *server, int64_t now_ms)
 {
-    double speed = SERVER_READ_TOKENS_PER_MS * BOOKED_PART / server->slowness;
-    double read = (double)(now_ms - server->booked_ms) * speed;
-    server->booked = server->booked > read ? server->booked - read : 0;
-    server->booked_ms = now_ms;
-    return server->booked;
+    double speed =
+        SERVER_PREFILL_TOKENS_PER_MS * BOOKED_PART / server->slowness;
+    double read = (double)(now_ms - server->backlog_updated_ms) * speed;
+    server->backlog_tokens =
+        server->backlog_tokens > read ? server->backlog_tokens - read : 0;
+    server->backlog_updated_ms = now_ms;
+    return server->backlog_tokens;
 }
 
 /* A request goes to it that makes it read so many tokens. */
 void
-server_sent(server_t *server, double unread_tokens, int64_t now_ms)
+server_add_request(server_t *server, double unread_tokens, int64_t now_ms)
 {
     if (server->own_running == 0) {
-        server->busy_ms = now_ms;
+        server->busy_since_ms = now_ms;
     }
     server->own_running++;
-    server->booked = server_booked(server, now_ms) + unread_tokens;
-    server->sent += (uint32_t)unread_tokens;
-    server->own_unread += unread_tokens;
+    server->backlog_tokens =
+        server_update_backlog(server, now_ms) + unread_tokens;
+    server->sent_tokens += (uint32_t)unread_tokens;
+    server->own_prefill_tokens += unread_tokens;
 }
 
 /* So many tokens of a request's prompt are read, or will not be. */
 void
-server_read(server_t *server, double tokens)
+server_subtract_prefill(server_t *server, double tokens)
 {
-    server->own_unread -= tokens;
-    if (server->own_unread < 0) {
-        server->own_unread = 0;
+    server->own_prefill_tokens -= tokens;
+    if (server->own_prefill_tokens < 0) {
+        server->own_prefill_tokens = 0;
     }
 }
 
 void
-server_done(server_t *server)
+server_remove_request(server_t *server)
 {
     server->own_running--;
 }
 
 void
-server_load(server_t *server, int running, int waiting, int64_t now_ms)
+server_set_load(server_t *server, int running, int waiting, int64_t now_ms)
 {
-    server->load_running = running;
-    server->load_waiting = waiting;
-    server->load_ms = now_ms;
+    server->reported_running = running;
+    server->reported_waiting = waiting;
+    server->reported_ms = now_ms;
 }
 
 /* Whether the load that a server reported is recent. */
 bool
-server_load_fresh(const server_t *server, int64_t now_ms)
+server_has_recent_load(const server_t *server, int64_t now_ms)
 {
-    return server->load_ms != 0 && now_ms - server->load_ms < LOAD_FRESH_MS;
+    return server->reported_ms != 0 &&
+           now_ms - server->reported_ms < LOAD_FRESH_MS;
 }
 
 /* Requests of all hosts at a server, waiting ones included: by its own report
  * while that is recent, and at least the sum of what the hosts announce. */
 int
-server_places_taken(const server_t *server, int64_t now_ms)
+server_count_in_flight(const server_t *server, int64_t now_ms)
 {
-    int running = server_running(server, now_ms);
-    if (server_load_fresh(server, now_ms) &&
-        server->load_running + server->load_waiting > running) {
-        running = server->load_running + server->load_waiting;
+    int running = server_count_running(server, now_ms);
+    if (server_has_recent_load(server, now_ms) &&
+        server->reported_running + server->reported_waiting > running) {
+        running = server->reported_running + server->reported_waiting;
     }
     return running;
 }
@@ -256,68 +260,71 @@
 server_slot_wait_ms(const server_t *server, int64_t now_ms)
 {
     int slots = server->info.slots;
-    int over = server_places_taken(server, now_ms) - slots + 1;
-    double hold = server->hold_ms > 0 ? server->hold_ms : HOLD_UNKNOWN_MS;
+    int over = server_count_in_flight(server, now_ms) - slots + 1;
+    double hold =
+        server->slot_time_ms > 0 ? server->slot_time_ms : HOLD_UNKNOWN_MS;
     return slots > 0 && over > 0 ? over * hold / slots : 0;
 }
 
 /* A request had a slot for so long. */
 void
-server_held_slot(server_t *server, double ms)
+server_observe_slot_time(server_t *server, double ms)
 {
-    if (server->hold_ms <= 0) {
-        server->hold_ms = ms;
+    if (server->slot_time_ms <= 0) {
+        server->slot_time_ms = ms;
         return;
     }
-    server->hold_ms += HOLD_WEIGHT * (ms - server->hold_ms);
+    server->slot_time_ms += HOLD_WEIGHT * (ms - server->slot_time_ms);
 }
 
 /* Whether other hosts are notified of the server's reported load: only
  * of one whose slots are nearly taken, and not too often. */
 bool
-server_crowded_news(server_t *server, int64_t now_ms)
+server_should_announce_load(server_t *server, int64_t now_ms)
 {
-    int taken = server->load_running + server->load_waiting;
+    int taken = server->reported_running + server->reported_waiting;
     if (taken < server->info.slots * CROWDED_PART ||
-        now_ms - server->crowd_announced_ms < CROWDED_AGAIN_MS) {
+        now_ms - server->load_announced_ms < CROWDED_AGAIN_MS) {
         return false;
     }
-    server->crowd_announced_ms = now_ms;
+    server->load_announced_ms = now_ms;
     return true;
 }
 
 /* Count a fault; enough of them leave the server alone for a while. */
 void
-server_fault(server_t *server, server_fault_t fault, int64_t now_ms)
+server_record_fault(server_t *server, server_fault_t fault, int64_t now_ms)
 {
-    server->faults++;
+    server->consecutive_faults++;
     switch (fault) {
         case SERVER_FAULT_ERROR:
             /* Its answers are good or bad one by one: only the share of bad
              * ones counts, see request-place.c. */
             server->error_share += ERROR_WEIGHT * (1 - server->error_share);
-            server->faults--;
+            server->consecutive_faults--;
             return;
         case SERVER_FAULT_BROKEN:
             server->error_share += ERROR_WEIGHT * (1 - server->error_share);
-            if (server->faults < CIRCUIT_FAULTS) {
+            if (server->consecutive_faults < CIRCUIT_FAULTS) {
                 return;
             }
             break;
         case SERVER_FAULT_CONNECT:
-        case SERVER_FAULT_SILENT:
+        case SERVER_FAULT_TIMEOUT:
             break;
     }
-    unsigned doublings = server->faults - 1 < 3 ? server->faults - 1 : 3;
+    unsigned doublings = server->consecutive_faults - 1 < 3
+                             ? server->consecutive_faults - 1
+                             : 3;
     int64_t pause = (int64_t)CIRCUIT_FIRST_MS << doublings;
-    server->closed_ms =
+    server->circuit_open_until_ms =
         now_ms + (pause < CIRCUIT_LAST_MS ? pause : CIRCUIT_LAST_MS);
 }
 
 void
-server_good(server_t *server)
+server_record_success(server_t *server)
 {
-    server->faults = 0;
+    server->consecutive_faults = 0;
     server->error_share -= ERROR_WEIGHT * server->error_share;
 }
 
@@ -325,13 +332,13 @@
 static bool
 is_reachable(const server_t *server, int64_t now_ms)
 {
-    return !server->gone && !server->silent && !server->misplaced &&
-           now_ms >= server->closed_ms;
+    return !server->removed && !server->unresponsive &&
+           !server->address_taken && now_ms >= server->circuit_open_until_ms;
 }
 
 /* Whether new work may go to it at all. */
 bool
-server_usable(const server_t *server, int64_t now_ms)
+server_is_usable(const server_t *server, int64_t now_ms)
 {
     return is_reachable(server, now_ms) && !server->info.draining;
 }
@@ -340,7 +347,7 @@
 void
 server_confirm_alive(server_t *server, int64_t now_ms)
 {
-    server->alive_ms = now_ms;
+    server->confirmed_alive_ms = now_ms;
 }
 
 /* Whether other servers may fetch from it.  A dark server takes
@@ -348,10 +355,10 @@
  * is sent there waits some hundred ms and then reads the prompt all the same.
  */
 bool
-server_is_source(const server_t *server, int64_t now_ms)
+server_is_fetch_source(const server_t *server, int64_t now_ms)
 {
-    return is_reachable(server, now_ms) && server->alive_ms != 0 &&
-           now_ms - server->alive_ms < LIFE_MS;
+    return is_reachable(server, now_ms) && server->confirmed_alive_ms != 0 &&
+           now_ms - server->confirmed_alive_ms < LIFE_MS;
 }
 
 /* Something came from the server. */
@@ -359,7 +366,7 @@
 server_note_answer(server_t *server, int64_t now_ms)
 {
     server->answered_ms = now_ms;
-    server->silent = false;
+    server->unresponsive = false;
     server_confirm_alive(server, now_ms);
 }
 
@@ -367,25 +374,26 @@
  * its path refuses nothing and closes nothing: requests to it would wait for
  * their deadlines, and new ones would join them. */
 bool
-server_wants_probe(const server_t *server, int64_t now_ms)
+server_needs_probe(const server_t *server, int64_t now_ms)
 {
-    if (server->gone || server->probing) {
+    if (server->removed || server->probing) {
         return false;
     }
-    if (server->silent) {
-        return now_ms - server->asked_ms >= SILENT_AGAIN_MS;
+    if (server->unresponsive) {
+        return now_ms - server->probed_ms >= SILENT_AGAIN_MS;
     }
-    int64_t since = server->answered_ms > server->busy_ms ? server->answered_ms
-                                                          : server->busy_ms;
+    int64_t since = server->answered_ms > server->busy_since_ms
+                        ? server->answered_ms
+                        : server->busy_since_ms;
     return server->own_running > 0 && now_ms - since >= SILENCE_MS;
 }
 
 /* A request of this host brought tokens into the server's cache that no other
  * request will ask for. */
 void
-server_filled(server_t *server, uint32_t tokens)
+server_add_unshared(server_t *server, uint32_t tokens)
 {
-    server->filled += tokens;
+    server->unshared_tokens += tokens;
     cached_parts_fill(server->held, tokens);
 }
 
@@ -393,10 +401,11 @@
  * that goes back is of a host that has started anew, or of a datagram that
  * came late; taken for a wrap it would empty the list. */
 static void
-fill_since(server_t *server, const other_load_t *before,
-           const other_load_t *report)
+fill_since(server_t *server, const server_peer_load_t *before,
+           const server_peer_load_t *report)
 {
-    int32_t more = (int32_t)(report->filled - before->filled);
+    int32_t more =
+        (int32_t)(report->unshared_tokens - before->unshared_tokens);
     if (more > 0) {
         cached_parts_fill(server->held, (uint32_t)more);
     }
@@ -405,22 +414,22 @@
 /* Tokens that a host has given the server to read since its last announcement;
  * for its first one, those that are not read yet. */
 static double
-sent_since(const other_load_t *before, const other_load_t *report)
+sent_since(const server_peer_load_t *before, const server_peer_load_t *report)
 {
-    int32_t more = (int32_t)(report->sent - before->sent);
-    if (before->host != report->host || before->sent == 0 || more < 0) {
-        return report->unread;
+    int32_t more = (int32_t)(report->sent_tokens - before->sent_tokens);
+    if (before->host != report->host || before->sent_tokens == 0 || more < 0) {
+        return report->prefill_tokens;
     }
     return more;
 }
 
 /* The place of a host's announcement, or the oldest one to be replaced. */
-static other_load_t *
+static server_peer_load_t *
 other_place(server_t *server, uint64_t host)
 {
-    other_load_t *oldest = &server->others[0];
-    for (size_t i = 0; i < server->other_count; i++) {
-        other_load_t *other = &server->others[i];
+    server_peer_load_t *oldest = &server->peer_loads[0];
+    for (size_t i = 0; i < server->peer_load_count; i++) {
+        server_peer_load_t *other = &server->peer_loads[i];
         if (other->host == host) {
             return other;
         }
@@ -428,33 +437,34 @@
             oldest = other;
         }
     }
-    return server->other_count < OTHER_HOSTS_MAX
-               ? &server->others[server->other_count++]
+    return server->peer_load_count < SERVER_PEERS_MAX
+               ? &server->peer_loads[server->peer_load_count++]
                : oldest;
 }
 
 /* Applies another host's announcement.  What its requests have brought into
  * the cache since the last one pushes out what was used before. */
 void
-server_peer_load(server_t *server, const other_load_t *report)
+server_apply_peer_load(server_t *server, const server_peer_load_t *report)
 {
-    other_load_t *place = other_place(server, report->host);
+    server_peer_load_t *place = other_place(server, report->host);
     bool known = place->host == report->host;
-    uint32_t sent = known ? place->sent : 0;
+    uint32_t sent = known ? place->sent_tokens : 0;
     if (known) {
         fill_since(server, place, report);
     }
-    if (report->sent != 0) {
-        server->booked = server_booked(server, report->received_ms) +
-                         sent_since(place, report);
-        sent = report->sent;
+    if (report->sent_tokens != 0) {
+        server->backlog_tokens =
+            server_update_backlog(server, report->received_ms) +
+            sent_since(place, report);
+        sent = report->sent_tokens;
     }
     *place = *report;
-    place->sent = sent;
+    place->sent_tokens = sent;
 }
 
 static bool
-is_fresh(const other_load_t *other, int64_t now_ms)
+is_fresh(const server_peer_load_t *other, int64_t now_ms)
 {
     return other->host != 0 && now_ms - other->received_ms < OTHER_FRESH_MS;
 }
@@ -462,13 +472,13 @@
 /* Prompt tokens of other hosts that are not read yet, as far as they have
  * reported. */
 double
-server_others_unread(const server_t *server, int64_t now_ms)
+server_sum_peer_prefill(const server_t *server, int64_t now_ms)
 {
     double unread = 0;
-    for (size_t i = 0; i < server->other_count; i++) {
-        const other_load_t *other = &server->others[i];
+    for (size_t i = 0; i < server->peer_load_count; i++) {
+        const server_peer_load_t *other = &server->peer_loads[i];
         if (is_fresh(other, now_ms)) {
-            unread += other->unread;
+            unread += other->prefill_tokens;
         }
     }
     return unread;
@@ -476,11 +486,11 @@
 
 /* Requests of all hosts at it, as far as they have reported. */
 int
-server_running(const server_t *server, int64_t now_ms)
+server_count_running(const server_t *server, int64_t now_ms)
 {
     int running = server->own_running;
-    for (size_t i = 0; i < server->other_count; i++) {
-        const other_load_t *other = &server->others[i];
+    for (size_t i = 0; i < server->peer_load_count; i++) {
+        const server_peer_load_t *other = &server->peer_loads[i];
         if (is_fresh(other, now_ms)) {
             running += other->running;
         }
@@ -491,7 +501,8 @@
 /* A prompt that found nothing ahead of it was read in so much time.  Servers
  * of one service differ in speed, and one that is nearly full slows down. */
 void
-server_speed(server_t *server, double expected_ms, double observed_ms)
+server_update_slowness(server_t *server, double expected_ms,
+                       double observed_ms)
 {
     double ratio = observed_ms / expected_ms;
     if (ratio < SPEED_RATIO_LEAST) {
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -82,19 +82,19 @@
     server_t *server = servers_put(servers, &entry);
     cached_parts_room(server->held, 1000);
     use(server->held, 1, 500);
-    other_load_t report = {
-        .host = 9, .received_ms = 1, .filled = UINT32_MAX - 10};
-    server_peer_load(server, &report);
+    server_peer_load_t report = {
+        .host = 9, .received_ms = 1, .unshared_tokens = UINT32_MAX - 10};
+    server_apply_peer_load(server, &report);
     ck_assert(cached_parts_has(server->held, 1));
-    report.filled += 400;
-    server_peer_load(server, &report);
+    report.unshared_tokens += 400;
+    server_apply_peer_load(server, &report);
     ck_assert(cached_parts_has(server->held, 1));
-    report.filled += 700;
-    server_peer_load(server, &report);
+    report.unshared_tokens += 700;
+    server_apply_peer_load(server, &report);
     ck_assert(!cached_parts_has(server->held, 1));
     use(server->held, 2, 500);
-    report.filled = 5;
-    server_peer_load(server, &report);
+    report.unshared_tokens = 5;
+    server_apply_peer_load(server, &report);
     ck_assert(cached_parts_has(server->held, 2));
     servers_free(servers);
 }
--- a/tests/test-peer-loads.c
+++ b/tests/test-peer-loads.c
@@ -43,11 +43,11 @@
     static peer_datagram_t datagram;
     pair_t pair;
     pair_init(&pair);
-    server_sent(pair.mine, 600, 1000);
+    server_add_request(pair.mine, 600, 1000);
     ck_assert(peer_loads_collect(pair.here, &datagram, 1000));
     peer_loads_apply(pair.there, 1, &datagram, 1001);
     peer_loads_apply(pair.there, 2, &datagram, 1001);
-    ck_assert_double_eq(server_others_unread(pair.theirs, 1001), 1200);
+    ck_assert_double_eq(server_sum_peer_prefill(pair.theirs, 1001), 1200);
     ck_assert(!peer_loads_collect(pair.here, &datagram, 1050));
     pair_free(&pair);
 }
@@ -60,17 +60,17 @@
     static peer_datagram_t datagram;
     pair_t pair;
     pair_init(&pair);
-    server_sent(pair.mine, 9000, 0);
+    server_add_request(pair.mine, 9000, 0);
     for (int64_t now = 0; now < 5000; now += 50) {
         if (peer_loads_collect(pair.here, &datagram, now)) {
             peer_loads_apply(pair.there, 1, &datagram, now);
         }
-        ck_assert_double_eq(server_others_unread(pair.theirs, now), 9000);
+        ck_assert_double_eq(server_sum_peer_prefill(pair.theirs, now), 9000);
     }
-    server_read(pair.mine, 9000);
+    server_subtract_prefill(pair.mine, 9000);
     ck_assert(peer_loads_collect(pair.here, &datagram, 5000));
     peer_loads_apply(pair.there, 1, &datagram, 5000);
-    ck_assert_double_eq(server_others_unread(pair.theirs, 5000), 0);
+    ck_assert_double_eq(server_sum_peer_prefill(pair.theirs, 5000), 0);
     ck_assert(!peer_loads_collect(pair.here, &datagram, 9000));
     pair_free(&pair);
 }
@@ -83,17 +83,17 @@
     static peer_datagram_t datagram;
     pair_t pair;
     pair_init(&pair);
-    server_sent(pair.mine, 1000, 0);
+    server_add_request(pair.mine, 1000, 0);
     ck_assert(peer_loads_collect(pair.here, &datagram, 0));
     peer_loads_apply(pair.there, 1, &datagram, 0);
-    server_sent(pair.mine, 4800, 50);
-    server_read(pair.mine, 5800);
+    server_add_request(pair.mine, 4800, 50);
+    server_subtract_prefill(pair.mine, 5800);
     ck_assert(peer_loads_collect(pair.here, &datagram, 50));
     peer_loads_apply(pair.there, 1, &datagram, 50);
-    ck_assert_double_eq(server_others_unread(pair.theirs, 50), 0);
-    ck_assert_double_eq(server_booked(pair.theirs, 50), 4800);
-    ck_assert_double_gt(server_booked(pair.theirs, 150), 0);
-    ck_assert_double_eq(server_booked(pair.theirs, 250), 0);
+    ck_assert_double_eq(server_sum_peer_prefill(pair.theirs, 50), 0);
+    ck_assert_double_eq(server_update_backlog(pair.theirs, 50), 4800);
+    ck_assert_double_gt(server_update_backlog(pair.theirs, 150), 0);
+    ck_assert_double_eq(server_update_backlog(pair.theirs, 250), 0);
     pair_free(&pair);
 }
 END_TEST
@@ -106,7 +106,7 @@
     server_t *server = put_engine(servers, "e1");
     datagram.loads[0] = (peer_load_t){.server = server->key + 1, .unread = 5};
     peer_loads_apply(servers, 1, &datagram, 10);
-    ck_assert_double_eq(server_others_unread(server, 10), 0);
+    ck_assert_double_eq(server_sum_peer_prefill(server, 10), 0);
     servers_free(servers);
 }
 END_TEST
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -88,14 +88,14 @@
     str_copy(load.load.version, sizeof(load.load.version), "1");
     str_copy(load.load.loading, sizeof(load.load.loading), "2");
     peers_apply(relay, 1, &load);
-    ck_assert_int_gt(server->loading_ms, time_mono_ms());
-    ck_assert_int_eq(server_running(server, time_mono_ms()), 2);
-    ck_assert_int_eq(server_places_taken(server, time_mono_ms()), 6);
+    ck_assert_int_gt(server->loading_until_ms, time_mono_ms());
+    ck_assert_int_eq(server_count_running(server, time_mono_ms()), 2);
+    ck_assert_int_eq(server_count_in_flight(server, time_mono_ms()), 6);
     ck_assert(cached_parts_has(server->held, 5));
     load = load_of("a");
     str_copy(load.load.version, sizeof(load.load.version), "2");
     peers_apply(relay, 1, &load);
-    ck_assert_int_eq(server->loading_ms, 0);
+    ck_assert_int_eq(server->loading_until_ms, 0);
     ck_assert_int_eq(server->info.weights, 2);
     ck_assert(!cached_parts_has(server->held, 5));
     relay_without(relay);
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -136,7 +136,7 @@
     double begin = (double)now;
     begin = fleet->free_ms[engine] > begin ? fleet->free_ms[engine] : begin;
     fleet->free_ms[engine] = begin + tokens / ENGINE_TOKENS_PER_MS;
-    server_sent(server, tokens, now);
+    server_add_request(server, tokens, now);
     ck_assert_uint_lt(fleet->count, REQUESTS_MAX);
     fleet->placed[fleet->count++] =
         (placed_t){.host = host,
@@ -155,8 +155,8 @@
         placed_t *placed = &fleet->placed[i];
         if (!placed->counted_off && placed->done_ms <= (double)now) {
             server_t *server = fleet->servers[placed->host][placed->engine];
-            server_read(server, placed->tokens);
-            server_done(server);
+            server_subtract_prefill(server, placed->tokens);
+            server_remove_request(server);
             forecast_note(&fleet->hosts[placed->host]->forecast,
                           placed->expected_ms,
                           placed->done_ms - (double)placed->came_ms);
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -29,18 +29,18 @@
 {
     servers_t *servers = servers_new();
     server_t *server = server_add(servers, 1);
-    other_load_t report = {.host = 7, .received_ms = 1000, .running = 1};
-    server_peer_load(server, &report);
-    server_sent(server, 0, 1000);
+    server_peer_load_t report = {.host = 7, .received_ms = 1000, .running = 1};
+    server_apply_peer_load(server, &report);
+    server_add_request(server, 0, 1000);
     ck_assert(!rollout_may_order(server, 1000, 1100));
-    server_done(server);
+    server_remove_request(server);
     ck_assert(!rollout_may_order(server, 1000, 1100));
     report.running = 0;
     report.received_ms = 1150;
-    server_peer_load(server, &report);
+    server_apply_peer_load(server, &report);
     ck_assert(rollout_may_order(server, 1000, 1150));
     report.running = 5;
-    server_peer_load(server, &report);
+    server_apply_peer_load(server, &report);
     ck_assert(!rollout_may_order(server, 1000, 1000 + ROLLOUT_QUIET_MS - 1));
     ck_assert(rollout_may_order(server, 1000, 1000 + ROLLOUT_QUIET_MS));
     servers_free(servers);
@@ -82,7 +82,7 @@
         return;
     }
     if (now >= one->ends_ms && one->server->own_running > 0) {
-        server_done(one->server);
+        server_remove_request(one->server);
     }
     if (!one->loading) {
         one->loading = rollout_may_order(one->server, one->quiet_ms, now);
@@ -110,7 +110,7 @@
     int left = SERVERS;
     for (int i = 0; i < SERVERS; i++) {
         all[i].server = server_add(servers, i);
-        server_sent(all[i].server, 0, now);
+        server_add_request(all[i].server, 0, now);
     }
     while (left > 0 && now < 60000) {
         int loading = 0;
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -20,12 +20,12 @@
     servers_t *servers = servers_new();
     server_entry_t entry = on_old;
     server_t *server = servers_put(servers, &entry);
-    server->loading_ms = 5000;
+    server->loading_until_ms = 5000;
     (void)servers_put(servers, &entry);
-    ck_assert_int_eq(server->loading_ms, 5000);
+    ck_assert_int_eq(server->loading_until_ms, 5000);
     entry.weights = 2;
     (void)servers_put(servers, &entry);
-    ck_assert_int_eq(server->loading_ms, 0);
+    ck_assert_int_eq(server->loading_until_ms, 0);
     servers_free(servers);
 }
 END_TEST
@@ -40,16 +40,16 @@
     entry.slots = 4;
     server_t *server = servers_put(servers, &entry);
     ck_assert_double_eq(server_slot_wait_ms(server, 1000), 0);
-    server_held_slot(server, 800);
-    server_load(server, 3, 0, 1000);
+    server_observe_slot_time(server, 800);
+    server_set_load(server, 3, 0, 1000);
     ck_assert_double_eq(server_slot_wait_ms(server, 1000), 0);
-    server_load(server, 4, 0, 1000);
+    server_set_load(server, 4, 0, 1000);
     ck_assert_double_eq(server_slot_wait_ms(server, 1000), 200);
-    server_load(server, 4, 3, 1000);
+    server_set_load(server, 4, 3, 1000);
     ck_assert_double_eq(server_slot_wait_ms(server, 1500), 800);
     ck_assert_double_eq(server_slot_wait_ms(server, 2500), 0);
     for (int i = 0; i < 5; i++) {
-        server_sent(server, 0, 2500);
+        server_add_request(server, 0, 2500);
     }
     ck_assert_double_eq(server_slot_wait_ms(server, 2500), 400);
     servers_free(servers);
@@ -63,14 +63,14 @@
     server_entry_t entry = on_old;
     entry.slots = 16;
     server_t *server = servers_put(servers, &entry);
-    server_load(server, 11, 0, 1000);
-    ck_assert(!server_crowded_news(server, 1000));
-    server_load(server, 10, 2, 1000);
-    ck_assert(server_crowded_news(server, 1000));
-    server_load(server, 16, 2, 1100);
-    ck_assert(!server_crowded_news(server, 1100));
-    server_load(server, 16, 2, 1300);
-    ck_assert(server_crowded_news(server, 1300));
+    server_set_load(server, 11, 0, 1000);
+    ck_assert(!server_should_announce_load(server, 1000));
+    server_set_load(server, 10, 2, 1000);
+    ck_assert(server_should_announce_load(server, 1000));
+    server_set_load(server, 16, 2, 1100);
+    ck_assert(!server_should_announce_load(server, 1100));
+    server_set_load(server, 16, 2, 1300);
+    ck_assert(server_should_announce_load(server, 1300));
     servers_free(servers);
 }
 END_TEST
@@ -112,7 +112,7 @@
         double left = one->free_ms[i] - now;
         taken += left > 0 ? (int)(left / PLAY_HOLD_MS) + 1 : 0;
     }
-    server_load(one->server, taken, 0, (int64_t)now);
+    server_set_load(one->server, taken, 0, (int64_t)now);
 }
 
 /* The load: short prompts that all share one part, so that all have the same
@@ -129,7 +129,7 @@
         (void)snprintf(entry.id, sizeof(entry.id), "s%d", i);
         entry.slots = PLAY_SLOTS;
         all[i].server = servers_put(servers, &entry);
-        server_held_slot(all[i].server, PLAY_HOLD_MS);
+        server_observe_slot_time(all[i].server, PLAY_HOLD_MS);
     }
     for (int n = 0; n < asked; n++) {
         double now = 1000 + n * 1000.0 / PLAY_PER_SECOND;
@@ -162,14 +162,14 @@
     servers_t *servers = servers_new();
     server_entry_t entry = on_old;
     server_t *server = servers_put(servers, &entry);
-    ck_assert(!server_is_source(server, 10000));
+    ck_assert(!server_is_fetch_source(server, 10000));
     server_note_answer(server, 10000);
-    ck_assert(server_is_source(server, 11900));
-    ck_assert(!server_is_source(server, 12000));
+    ck_assert(server_is_fetch_source(server, 11900));
+    ck_assert(!server_is_fetch_source(server, 12000));
     server_confirm_alive(server, 12000);
-    ck_assert(server_is_source(server, 12500));
-    server->silent = true;
-    ck_assert(!server_is_source(server, 12500));
+    ck_assert(server_is_fetch_source(server, 12500));
+    server->unresponsive = true;
+    ck_assert(!server_is_fetch_source(server, 12500));
     servers_free(servers);
 }
 END_TEST
