--- a/relay/cache-events.c
+++ b/relay/cache-events.c
@@ -9,11 +9,11 @@
 /* Notifies the other daemons of a change that they do not know.  A part that
  * no request is known to ask for is only kept track of. */
 void
-cache_event_take(relay_t *relay, cached_parts_t *unasked, const char *holder,
-                 const cache_event_t *event)
+cache_event_apply(relay_t *relay, cached_parts_t *unasked, const char *holder,
+                  const cache_event_t *event)
 {
-    uint64_t key = prompt_part_key(prompt_part(event->id, strlen(event->id)),
-                                   event->salt);
+    uint64_t key = prompt_part_key(
+        prompt_part_hash(event->id, strlen(event->id)), event->salt);
     const cached_part_t part = {
         .key = key, .prompt_tokens = event->tokens, .tokens = event->tokens};
     bool there = event->grew && event->tokens > 0;
@@ -23,7 +23,7 @@
             cached_parts_use(unasked, &part);
         }
         else {
-            cached_parts_drop(unasked, key);
+            cached_parts_remove(unasked, key);
         }
         return;
     }
@@ -39,13 +39,13 @@
 /* A request here or at another daemon asks for a part: the others are notified
  * if the cache holds it. */
 void
-cache_event_asked(relay_t *relay, cached_parts_t *unasked, const char *holder,
-                  uint64_t key)
+cache_event_note_request(relay_t *relay, cached_parts_t *unasked,
+                         const char *holder, uint64_t key)
 {
     const cached_part_t *known = cached_parts_get(unasked, key);
     if (known != NULL) {
         const cached_part_t part = *known;
-        cached_parts_drop(unasked, key);
+        cached_parts_remove(unasked, key);
         cache_appeared(relay, holder, &part);
     }
 }
--- a/relay/cache-events.h
+++ b/relay/cache-events.h
@@ -6,9 +6,9 @@
 
 #include "cache-source.h"
 
-void cache_event_take(relay_t *relay, cached_parts_t *unasked,
-                      const char *holder, const cache_event_t *event);
-void cache_event_asked(relay_t *relay, cached_parts_t *unasked,
-                       const char *holder, uint64_t key);
+void cache_event_apply(relay_t *relay, cached_parts_t *unasked,
+                       const char *holder, const cache_event_t *event);
+void cache_event_note_request(relay_t *relay, cached_parts_t *unasked,
+                              const char *holder, uint64_t key);
 
 #endif
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -69,8 +69,8 @@
 on_event(void *arg, const cache_event_t *event)
 {
     const follow_t *follow = arg;
-    cache_event_take(follow->follows->relay, follow->unasked, follow->holder,
-                     event);
+    cache_event_apply(follow->follows->relay, follow->unasked, follow->holder,
+                      event);
 }
 
 /* A request here or at another daemon asks for a part. */
@@ -82,8 +82,8 @@
         return;
     }
     CK_LIST_FOREACH (follow, &follows->list, entry) {
-        cache_event_asked(follows->relay, follow->unasked, follow->holder,
-                          key);
+        cache_event_note_request(follows->relay, follow->unasked,
+                                 follow->holder, key);
     }
 }
 
@@ -94,7 +94,7 @@
     cache_place_t place = {0};
     bool listing = !follow->listed;
     if (listing) {
-        cached_parts_forget(follow->unasked);
+        cached_parts_clear(follow->unasked);
     }
     if (!result->whole || result->status != 200) {
         return false;
@@ -184,7 +184,7 @@
         follow = mem_zalloc(sizeof(*follow));
         follow->follows = follows;
         follow->unasked = cached_parts_new();
-        cached_parts_room(follow->unasked, UNASKED_TOKENS);
+        cached_parts_set_capacity(follow->unasked, UNASKED_TOKENS);
         str_copy(follow->holder, sizeof(follow->holder), holder);
         CK_LIST_INSERT_HEAD(&follows->list, follow, entry);
     }
--- a/relay/cache-save.c
+++ b/relay/cache-save.c
@@ -24,39 +24,42 @@
 }
 
 static void
-fill(save_share_t *share, double rate, int64_t now_ms)
+fill(save_bucket_t *share, double rate, int64_t now_ms)
 {
     double most = credit_max(rate);
-    if (share->filled_ms == 0) {
-        share->credit = most;
+    if (share->refilled_ms == 0) {
+        share->credit_tokens = most;
     }
     else {
-        share->credit += rate * (double)(now_ms - share->filled_ms);
+        share->credit_tokens += rate * (double)(now_ms - share->refilled_ms);
     }
-    share->credit = share->credit > most ? most : share->credit;
-    share->filled_ms = now_ms;
+    share->credit_tokens =
+        share->credit_tokens > most ? most : share->credit_tokens;
+    share->refilled_ms = now_ms;
 }
 
 /* Whether the store is to take a prompt; if so, its transfer is counted.  The
  * less credit is left, the larger the part of the transfer must be that other
  * requests can use. */
 bool
-cache_save_allowed(save_share_t *share, const save_ask_t *ask, int64_t now_ms)
+cache_save_allowed(save_bucket_t *share, const save_params_t *ask,
+                   int64_t now_ms)
 {
     size_t hosts = ask->hosts > 0 ? ask->hosts : 1;
     double rate = ask->link_tokens_per_ms * LINK_PART / (double)hosts;
-    double sent = (double)ask->shared + (double)ask->own;
-    if (ask->shared == 0) {
+    double sent = (double)ask->shared_tokens + (double)ask->unshared_tokens;
+    if (ask->shared_tokens == 0) {
         return false;
     }
     if (ask->link_tokens_per_ms <= 0) {
         return true; /* not configured */
     }
     fill(share, rate, now_ms);
-    if (share->credit <= 0 ||
-        ask->shared / sent < 1 - share->credit / credit_max(rate)) {
+    if (share->credit_tokens <= 0 ||
+        ask->shared_tokens / sent <
+            1 - share->credit_tokens / credit_max(rate)) {
         return false;
     }
-    share->credit -= ask->same_dc ? sent : sent * OTHER_DC_COST;
+    share->credit_tokens -= ask->same_dc ? sent : sent * OTHER_DC_COST;
     return true;
 }
--- a/relay/cache-save.h
+++ b/relay/cache-save.h
@@ -7,19 +7,20 @@
 
 /* This host's share of the transfers over one store's link. */
 typedef struct {
-    double credit; /* tokens that may be transferred now; below 0 in debt */
-    int64_t filled_ms;
-} save_share_t;
+    double credit_tokens; /* tokens that may be transferred now; below 0 in
+                             debt */
+    int64_t refilled_ms;
+} save_bucket_t;
 
 typedef struct {
     double link_tokens_per_ms; /* that the store takes in at most */
     size_t hosts;              /* that save to it */
     bool same_dc;              /* the server and the store */
-    uint32_t shared;           /* tokens that the store lacks */
-    uint32_t own;              /* of the request alone, sent along */
-} save_ask_t;
+    uint32_t shared_tokens;    /* tokens that the store lacks */
+    uint32_t unshared_tokens;  /* of the request alone, sent along */
+} save_params_t;
 
-bool cache_save_allowed(save_share_t *share, const save_ask_t *ask,
+bool cache_save_allowed(save_bucket_t *share, const save_params_t *ask,
                         int64_t now_ms);
 
 #endif
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -36,7 +36,7 @@
 static const relay_service_t *
 store_service(const relay_t *relay, uint16_t number)
 {
-    const kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER];
+    const kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER_MIN];
     return relay->config != NULL && store->held != NULL
                ? relay_config_service(relay->config, store->name)
                : NULL;
@@ -45,16 +45,17 @@
 /* The store that keeps what a prompt shares, and its number; NULL if there is
  * no store or nothing is shared. */
 const relay_service_t *
-cache_store_for(const relay_t *relay, const prefix_t *prefix, uint16_t *number)
+cache_find_store(const relay_t *relay, const prefix_t *prefix,
+                 uint16_t *number)
 {
     unsigned shared = shared_levels(prefix);
-    int at = shared > 0 ? kv_stores_for(&relay->stores,
-                                        prefix->levels[shared - 1].key)
+    int at = shared > 0 ? kv_stores_choose(&relay->stores,
+                                           prefix->levels[shared - 1].key)
                         : -1;
     if (at < 0) {
         return NULL;
     }
-    *number = (uint16_t)(KV_STORE_NUMBER + at);
+    *number = (uint16_t)(KV_STORE_NUMBER_MIN + at);
     return store_service(relay, *number);
 }
 
@@ -78,7 +79,7 @@
 take_source(const relay_t *relay, const server_t *to, uint16_t number,
             cache_source_t *out)
 {
-    if (number >= KV_STORE_NUMBER) {
+    if (number >= KV_STORE_NUMBER_MIN) {
         const relay_service_t *store = store_service(relay, number);
         if (store == NULL) {
             return false;
@@ -117,8 +118,8 @@
 static cached_parts_t *
 held_by(const relay_t *relay, uint16_t number)
 {
-    if (number >= KV_STORE_NUMBER) {
-        return relay->stores.all[number - KV_STORE_NUMBER].held;
+    if (number >= KV_STORE_NUMBER_MIN) {
+        return relay->stores.all[number - KV_STORE_NUMBER_MIN].held;
     }
     const server_t *server = servers_find_by_number(relay->servers, number);
     return server != NULL ? server->held : NULL;
@@ -148,7 +149,7 @@
 static const relay_service_t *
 holder_service(const relay_t *relay, uint16_t number)
 {
-    if (number >= KV_STORE_NUMBER) {
+    if (number >= KV_STORE_NUMBER_MIN) {
         return store_service(relay, number);
     }
     const server_t *server = servers_find_by_number(relay->servers, number);
@@ -217,19 +218,19 @@
 
 /* What a server holds of a prompt, and where it could fetch more. */
 void
-cache_look(relay_t *relay, const prefix_t *prefix, const server_t *server,
-           cache_view_t *out)
+cache_lookup(relay_t *relay, const prefix_t *prefix, const server_t *server,
+             cache_view_t *out)
 {
     int64_t now = time_mono_ms();
     unsigned shared = shared_levels(prefix);
     unsigned held = levels_held(server->held, prefix, 0, shared);
     memset(out, 0, sizeof(*out));
-    out->shared = shared > 0 ? prefix->levels[shared - 1].tokens : 0;
-    out->here = held > 0 ? prefix->levels[held - 1].tokens : 0;
+    out->shared_tokens = shared > 0 ? prefix->levels[shared - 1].tokens : 0;
+    out->held_tokens = held > 0 ? prefix->levels[held - 1].tokens : 0;
     uint32_t coming = pending_tokens(relay, prefix, server, now);
-    out->here = coming > out->here ? coming : out->here;
+    out->held_tokens = coming > out->held_tokens ? coming : out->held_tokens;
     for (unsigned i = shared; i > held && !out->found; i--) {
-        if (prefix->levels[i - 1].tokens <= out->here) {
+        if (prefix->levels[i - 1].tokens <= out->held_tokens) {
             return;
         }
         out->found = find_source(relay, prefix, held, i, server, &out->source);
@@ -243,7 +244,8 @@
     if (!view->found) {
         return 0;
     }
-    double ms = (view->source.tokens - view->here) * view->source.ms_per_token;
+    double ms =
+        (view->source.tokens - view->held_tokens) * view->source.ms_per_token;
     return FETCH_START_MS + ms;
 }
 
@@ -253,20 +255,20 @@
  * a miss costs a millisecond, another host may have had the part kept, and a
  * server that has dropped what it was believed to hold would read it again. */
 const char *
-cache_fetch_from(const cache_view_t *view, const relay_service_t *store)
+cache_fetch_address(const cache_view_t *view, const relay_service_t *store)
 {
     if (view->found) {
         return view->source.addr;
     }
-    return store != NULL && view->shared > 0 ? store->addr : NULL;
+    return store != NULL && view->shared_tokens > 0 ? store->addr : NULL;
 }
 
 /* The name by which other daemons know a holder. */
 static const char *
 holder_name(const relay_t *relay, uint16_t number)
 {
-    if (number >= KV_STORE_NUMBER) {
-        return relay->stores.all[number - KV_STORE_NUMBER].name;
+    if (number >= KV_STORE_NUMBER_MIN) {
+        return relay->stores.all[number - KV_STORE_NUMBER_MIN].name;
     }
     const server_t *server = servers_find_by_number(relay->servers, number);
     return server != NULL ? server->info.id : "";
@@ -285,7 +287,7 @@
  * prompt.  Peers are notified of shared parts.  The first part is evicted
  * last, so it is noted last. */
 void
-cache_note(relay_t *relay, const prefix_t *prefix, uint16_t number)
+cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number)
 {
     int64_t now = time_mono_ms();
     cached_parts_t *held = held_by(relay, number);
@@ -305,11 +307,11 @@
 holder_number(const relay_t *relay, const char *holder)
 {
     const server_t *server = servers_find(relay->servers, holder);
-    int store = kv_stores_named(&relay->stores, holder);
+    int store = kv_stores_find(&relay->stores, holder);
     if (holder[0] == '\0' || (server == NULL && store < 0)) {
         return -1;
     }
-    return server != NULL ? server->number : KV_STORE_NUMBER + store;
+    return server != NULL ? server->number : KV_STORE_NUMBER_MIN + store;
 }
 
 /* A holder has a part by its own list or events.  Notifies the other daemons
@@ -340,22 +342,23 @@
     if (held == NULL || !cached_parts_has(held, key)) {
         return false;
     }
-    cached_parts_drop(held, key);
+    cached_parts_remove(held, key);
     (void)cache_map_drop(relay->cache, (uint16_t)number, key);
     return true;
 }
 
 /* Applies a peer's notice that a server uses or reads a part. */
 void
-cache_apply(relay_t *relay, const char *holder, const cached_part_t *part)
+cache_apply_notice(relay_t *relay, const char *holder,
+                   const cached_part_t *part)
 {
     server_t *server = servers_find(relay->servers, holder);
-    int store = kv_stores_named(&relay->stores, holder);
+    int store = kv_stores_find(&relay->stores, holder);
     if (holder[0] == '\0' || (server == NULL && store < 0)) {
         return;
     }
-    uint16_t number =
-        server != NULL ? server->number : (uint16_t)(KV_STORE_NUMBER + store);
+    uint16_t number = server != NULL ? server->number
+                                     : (uint16_t)(KV_STORE_NUMBER_MIN + store);
     int64_t now = time_mono_ms();
     (void)cache_map_note_at(relay->cache, number, part->key,
                             part->prompt_tokens, now);
@@ -372,19 +375,19 @@
 
 /* What a server held is lost: it has started anew, or has other weights. */
 void
-cache_forget(relay_t *relay, const server_t *server)
+cache_clear(relay_t *relay, const server_t *server)
 {
     cache_map_forget(relay->cache, server->number);
-    cached_parts_forget(server->held);
+    cached_parts_clear(server->held);
 }
 
 /* Take the size of a server's cache from the configuration. */
 void
-cache_room(const relay_t *relay, const server_t *server)
+cache_set_capacity(const relay_t *relay, const server_t *server)
 {
     const relay_service_t *service = service_of(relay, server);
     if (service != NULL) {
-        cached_parts_room(
+        cached_parts_set_capacity(
             server->held,
             (int64_t)(ROOM_PART * (double)service->cache_tokens));
     }
@@ -392,12 +395,12 @@
 
 /* The same for all caches, when there is a new configuration. */
 void
-cache_rooms(relay_t *relay)
+cache_set_capacities(relay_t *relay)
 {
     server_t *server;
     kv_stores_sync(&relay->stores, relay->config);
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        cache_room(relay, server);
+        cache_set_capacity(relay, server);
     }
 }
 
@@ -424,7 +427,8 @@
 /* Whether the store that a prompt belongs to, by its number, has all that the
  * prompt shares. */
 bool
-cache_kept(const relay_t *relay, const prefix_t *prefix, uint16_t number)
+cache_store_has_shared(const relay_t *relay, const prefix_t *prefix,
+                       uint16_t number)
 {
     return holds(relay, number, prefix, 0, shared_levels(prefix));
 }
@@ -432,10 +436,10 @@
 /* Whether a server that a prompt goes to is to have a store, by its number,
  * take what the prompt shares. */
 bool
-cache_save(relay_t *relay, const prefix_t *prefix, const server_t *server,
-           uint16_t number)
+cache_should_save(relay_t *relay, const prefix_t *prefix,
+                  const server_t *server, uint16_t number)
 {
-    kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER];
+    kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER_MIN];
     const relay_service_t *to = store_service(relay, number);
     const relay_service_t *from = service_of(relay, server);
     unsigned shared = shared_levels(prefix);
@@ -445,14 +449,15 @@
     unsigned kept = levels_held(store->held, prefix, 0, shared);
     uint32_t total = prefix->levels[shared - 1].tokens;
     bool told = from != NULL && from->token_bytes > 0;
-    save_ask_t ask = {
+    save_params_t ask = {
         .link_tokens_per_ms =
             told ? (double)to->link_bits_per_ms /
                        ((double)from->token_bytes * BITS_PER_BYTE)
                  : 0,
         .hosts = peers_live(relay->peers),
         .same_dc = strcmp(to->dc, server->info.dc) == 0,
-        .shared = total - (kept > 0 ? prefix->levels[kept - 1].tokens : 0),
-        .own = prefix->tokens - total};
-    return cache_save_allowed(&store->saves, &ask, time_mono_ms());
+        .shared_tokens =
+            total - (kept > 0 ? prefix->levels[kept - 1].tokens : 0),
+        .unshared_tokens = prefix->tokens - total};
+    return cache_save_allowed(&store->save_bucket, &ask, time_mono_ms());
 }
--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -7,8 +7,8 @@
 #include "relay.h"
 
 /* The numbers from which on the cache map knows the kv stores. */
-#define KV_STORE_NUMBER SERVER_NUMBERS_MAX
-_Static_assert(KV_STORE_NUMBER + KV_STORES_MAX == SERVERS_MAX,
+#define KV_STORE_NUMBER_MIN SERVER_NUMBERS_MAX
+_Static_assert(KV_STORE_NUMBER_MIN + KV_STORES_MAX == SERVERS_MAX,
                "numbers of stores");
 
 typedef struct {
@@ -20,34 +20,36 @@
 } cache_source_t;
 
 typedef struct {
-    uint32_t here;   /* tokens that the server itself is believed to hold */
-    uint32_t shared; /* tokens that are not the request's own */
+    uint32_t
+        held_tokens; /* tokens that the server itself is believed to hold */
+    uint32_t shared_tokens; /* tokens that are not the request's own */
     bool found;
     cache_source_t source; /* the best that holds more, if found */
 } cache_view_t;
 
-void cache_look(relay_t *relay, const prefix_t *prefix, const server_t *server,
-                cache_view_t *out);
-void cache_note(relay_t *relay, const prefix_t *prefix, uint16_t number);
+void cache_lookup(relay_t *relay, const prefix_t *prefix,
+                  const server_t *server, cache_view_t *out);
+void cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number);
 void cache_appeared(relay_t *relay, const char *holder,
                     const cached_part_t *part);
 bool cache_evicted(relay_t *relay, const char *holder, uint64_t key);
-void cache_apply(relay_t *relay, const char *holder,
-                 const cached_part_t *part);
-void cache_forget(relay_t *relay, const server_t *server);
-void cache_room(const relay_t *relay, const server_t *server);
-void cache_rooms(relay_t *relay);
+void cache_apply_notice(relay_t *relay, const char *holder,
+                        const cached_part_t *part);
+void cache_clear(relay_t *relay, const server_t *server);
+void cache_set_capacity(const relay_t *relay, const server_t *server);
+void cache_set_capacities(relay_t *relay);
 void cache_note_pending(relay_t *relay, const prefix_t *prefix,
                         uint16_t number);
 bool cache_holds_shared(const prefix_t *prefix, const server_t *server);
 double cache_fetch_ms(const cache_view_t *view);
-const relay_service_t *cache_store_for(const relay_t *relay,
-                                       const prefix_t *prefix,
-                                       uint16_t *number);
-const char *cache_fetch_from(const cache_view_t *view,
-                             const relay_service_t *store);
-bool cache_save(relay_t *relay, const prefix_t *prefix, const server_t *server,
-                uint16_t number);
-bool cache_kept(const relay_t *relay, const prefix_t *prefix, uint16_t number);
+const relay_service_t *cache_find_store(const relay_t *relay,
+                                        const prefix_t *prefix,
+                                        uint16_t *number);
+const char *cache_fetch_address(const cache_view_t *view,
+                                const relay_service_t *store);
+bool cache_should_save(relay_t *relay, const prefix_t *prefix,
+                       const server_t *server, uint16_t number);
+bool cache_store_has_shared(const relay_t *relay, const prefix_t *prefix,
+                            uint16_t number);
 
 #endif
--- a/relay/cached-parts.c
+++ b/relay/cached-parts.c
@@ -85,7 +85,7 @@
 /* How many tokens the cache holds at most; what is not above 0 says nothing
  * and is left out. */
 void
-cached_parts_room(cached_parts_t *held, int64_t tokens)
+cached_parts_set_capacity(cached_parts_t *held, int64_t tokens)
 {
     if (tokens > 0 && tokens != held->room) {
         held->room = tokens;
@@ -95,7 +95,7 @@
 
 /* The cache was emptied. */
 void
-cached_parts_forget(cached_parts_t *held)
+cached_parts_clear(cached_parts_t *held)
 {
     while (held->lru.oldest != NULL) {
         entry_free(held, entry_of(held->lru.oldest));
@@ -106,7 +106,7 @@
 cached_parts_free(cached_parts_t *held)
 {
     if (held != NULL) {
-        cached_parts_forget(held);
+        cached_parts_clear(held);
         free(held);
     }
 }
@@ -132,7 +132,7 @@
 
 /* A part was evicted, whatever the order of use says. */
 void
-cached_parts_drop(cached_parts_t *held, uint64_t key)
+cached_parts_remove(cached_parts_t *held, uint64_t key)
 {
     cached_entry_t *entry = entry_find(held, key);
     if (entry != NULL) {
@@ -142,7 +142,7 @@
 
 /* So many tokens went in that no other request will ask for. */
 void
-cached_parts_fill(cached_parts_t *held, uint32_t tokens)
+cached_parts_add_unshared(cached_parts_t *held, uint32_t tokens)
 {
     cached_entry_t *entry = entry_of(held->lru.newest);
     if (tokens == 0) {
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -62,7 +62,7 @@
                (long long)config->version, (long long)config->revision);
     relay_config_release(relay->config);
     relay->config = config;
-    cache_rooms(relay);
+    cache_set_capacities(relay);
     set_quotas(relay);
 }
 
@@ -119,7 +119,7 @@
     log_record(LOG_INFO, "servers", "gone", "server=%s service=%s why=%s",
                server->info.id, server->info.service, why);
     server->removed = true;
-    cache_forget(relay, server);
+    cache_clear(relay, server);
     exchanges_drop(relay->exchanges, server->info.addr);
 }
 
@@ -178,7 +178,7 @@
 {
     if (server->info.started_ms != entry->started_ms ||
         server->info.weights != entry->weights) {
-        cache_forget(relay, server);
+        cache_clear(relay, server);
     }
 }
 
@@ -227,7 +227,7 @@
         return;
     }
     server->revision = object->revision;
-    cache_room(relay, server);
+    cache_set_capacity(relay, server);
     if (news) {
         log_server(server);
     }
--- a/relay/kv-stores.c
+++ b/relay/kv-stores.c
@@ -20,9 +20,9 @@
 static void
 store_put(kv_stores_t *stores, const relay_service_t *service)
 {
-    int at = kv_stores_named(stores, service->name);
+    int at = kv_stores_find(stores, service->name);
     if (at < 0) {
-        at = kv_stores_named(stores, "");
+        at = kv_stores_find(stores, "");
     }
     if (at < 0) {
         log_error("cache", "There is no room for the store %s.",
@@ -34,7 +34,7 @@
         store->held = cached_parts_new();
         str_copy(store->name, sizeof(store->name), service->name);
     }
-    cached_parts_room(store->held, service->cache_tokens);
+    cached_parts_set_capacity(store->held, service->cache_tokens);
 }
 
 /* Take the stores of a configuration; what is known of those that it names
@@ -66,7 +66,7 @@
 
 /* The place of the store that keeps a part, or -1 if there is none. */
 int
-kv_stores_for(const kv_stores_t *stores, uint64_t key)
+kv_stores_choose(const kv_stores_t *stores, uint64_t key)
 {
     int best = -1;
     uint64_t best_weight = 0;
@@ -85,7 +85,7 @@
 /* The place of the store with a name, or of a free one for an empty name; -1
  * if there is none. */
 int
-kv_stores_named(const kv_stores_t *stores, const char *name)
+kv_stores_find(const kv_stores_t *stores, const char *name)
 {
     for (int i = 0; i < KV_STORES_MAX; i++) {
         if (strcmp(stores->all[i].name, name) == 0) {
--- a/relay/kv-stores.h
+++ b/relay/kv-stores.h
@@ -16,7 +16,7 @@
 typedef struct {
     char name[CS_NAME_MAX]; /* of its service; empty for a free place */
     cached_parts_t *held;
-    save_share_t saves; /* of this host */
+    save_bucket_t save_bucket; /* of this host */
 } kv_store_t;
 
 typedef struct {
@@ -25,7 +25,7 @@
 
 void kv_stores_sync(kv_stores_t *stores, const relay_config_t *config);
 void kv_stores_free(kv_stores_t *stores);
-int kv_stores_for(const kv_stores_t *stores, uint64_t key);
-int kv_stores_named(const kv_stores_t *stores, const char *name);
+int kv_stores_choose(const kv_stores_t *stores, uint64_t key);
+int kv_stores_find(const kv_stores_t *stores, const char *name);
 
 #endif
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -20,7 +20,7 @@
         load->loading[0] != '\0' ? time_mono_ms() + LOADING_MS : 0;
     if (weights > server->info.weights) {
         server->info.weights = weights;
-        cache_forget(relay, server);
+        cache_clear(relay, server);
     }
 }
 
@@ -57,5 +57,5 @@
         cache_evicted(relay, fact->backend, fact->key);
         return;
     }
-    cache_apply(relay, fact->backend, &part);
+    cache_apply_notice(relay, fact->backend, &part);
 }
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -36,7 +36,7 @@
         log_record(LOG_INFO, "servers", "reported",
                    "server=%s weights=%lld busy=%d", server->info.id,
                    (long long)report.weights, report.busy);
-        cache_forget(probe->relay, server);
+        cache_clear(probe->relay, server);
         server->info.weights = report.weights;
     }
 }
--- a/relay/prompt.c
+++ b/relay/prompt.c
@@ -6,7 +6,7 @@
 
 /* The number by which a part's id is known here. */
 uint64_t
-prompt_part(const char *id, size_t len)
+prompt_part_hash(const char *id, size_t len)
 {
     return XXH3_64bits(id, len);
 }
@@ -14,7 +14,7 @@
 /* Read a list of ID:TOKENS, separated by commas.  Parts beyond what is kept
  * count as one with the last, so that the tokens add up. */
 void
-prompt_read_parts(prompt_t *prompt, const char *text, size_t len)
+prompt_parse_parts(prompt_t *prompt, const char *text, size_t len)
 {
     const char *end = text + len;
     while (text < end) {
@@ -26,7 +26,7 @@
                 text++;
             }
             uint32_t tokens = (uint32_t)strtoul(colon + 1, NULL, 10);
-            uint64_t part = prompt_part(text, (size_t)(colon - text));
+            uint64_t part = prompt_part_hash(text, (size_t)(colon - text));
             unsigned at = prompt->count < PREFIX_LEVELS_MAX
                               ? prompt->count++
                               : PREFIX_LEVELS_MAX - 1;
@@ -39,7 +39,7 @@
 
 /* Read "prompt,output". */
 void
-prompt_read_tokens(prompt_t *prompt, const char *text, size_t len)
+prompt_parse_tokens(prompt_t *prompt, const char *text, size_t len)
 {
     char copy[64];
     char *rest;
@@ -57,8 +57,8 @@
  * server checks neither, so both are in the name.  workspace is empty for all
  * that share. */
 void
-prompt_salt(const char *model, int64_t weights, const char *workspace,
-            char out[CS_ID_LEN + 1])
+prompt_format_salt(const char *model, int64_t weights, const char *workspace,
+                   char out[CS_ID_LEN + 1])
 {
     char text[CS_NAME_MAX * 3];
     int len = snprintf(text, sizeof(text), "%s/%lld/%s", model,
@@ -80,7 +80,7 @@
 
 /* The levels of a prompt under a salt, for the cache map. */
 void
-prompt_levels(const prompt_t *prompt, const char *salt, prefix_t *out)
+prompt_to_levels(const prompt_t *prompt, const char *salt, prefix_t *out)
 {
     uint32_t tokens = 0;
     memset(out, 0, sizeof(*out));
@@ -96,7 +96,7 @@
 /* The key of the prompt's home: of its deepest part that others share, under
  * no salt, so that the home stays when weights change. */
 uint64_t
-prompt_home(const prompt_t *prompt)
+prompt_home_key(const prompt_t *prompt)
 {
     unsigned shared = prompt->count > 1 ? prompt->count - 1 : prompt->count;
     uint64_t chain = 0;
@@ -109,7 +109,7 @@
 
 /* Tokens of the parts that other requests may have too. */
 uint32_t
-prompt_shared(const prompt_t *prompt)
+prompt_shared_tokens(const prompt_t *prompt)
 {
     uint32_t tokens = 0;
     for (unsigned i = 0; i + 1 < prompt->count; i++) {
--- a/relay/prompt.h
+++ b/relay/prompt.h
@@ -15,14 +15,14 @@
     uint32_t output_tokens; /* at most */
 } prompt_t;
 
-uint64_t prompt_part(const char *id, size_t len);
+uint64_t prompt_part_hash(const char *id, size_t len);
 uint64_t prompt_part_key(uint64_t part, const char *salt);
-void prompt_read_parts(prompt_t *prompt, const char *text, size_t len);
-void prompt_read_tokens(prompt_t *prompt, const char *text, size_t len);
-void prompt_salt(const char *model, int64_t weights, const char *workspace,
-                 char out[CS_ID_LEN + 1]);
-uint32_t prompt_shared(const prompt_t *prompt);
-uint64_t prompt_home(const prompt_t *prompt);
-void prompt_levels(const prompt_t *prompt, const char *salt, prefix_t *out);
+void prompt_parse_parts(prompt_t *prompt, const char *text, size_t len);
+void prompt_parse_tokens(prompt_t *prompt, const char *text, size_t len);
+void prompt_format_salt(const char *model, int64_t weights,
+                        const char *workspace, char out[CS_ID_LEN + 1]);
+uint32_t prompt_shared_tokens(const prompt_t *prompt);
+uint64_t prompt_home_key(const prompt_t *prompt);
+void prompt_to_levels(const prompt_t *prompt, const char *salt, prefix_t *out);
 
 #endif
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -106,7 +106,7 @@
     if (!levels->known || levels->weights != weights) {
         char salt[CS_ID_LEN + 1];
         request_salt(request, weights, salt);
-        prompt_levels(&request->prompt, salt, &levels->prefix);
+        prompt_to_levels(&request->prompt, salt, &levels->prefix);
         levels->weights = weights;
         levels->known = true;
     }
@@ -148,13 +148,13 @@
         return wait;
     }
     cache_view_t view;
-    cache_look(relay, levels_for(request, server->info.weights, levels),
-               server, &view);
-    out->cached = view.found ? view.source.tokens : view.here;
+    cache_lookup(relay, levels_for(request, server->info.weights, levels),
+                 server, &view);
+    out->cached = view.found ? view.source.tokens : view.held_tokens;
     wait += cache_fetch_ms(&view);
     /* The request's own part is read wherever it goes; what a slower server
      * takes longer for it counts as waiting. */
-    wait += (request->prompt.prompt_tokens - view.shared) *
+    wait += (request->prompt.prompt_tokens - view.shared_tokens) *
             (server->slowness - 1) / SERVER_PREFILL_TOKENS_PER_MS;
     out->rank = place_weight(request->home, server->info.id);
     out->wait_ms = wait + preference_ms(request, server);
@@ -224,7 +224,7 @@
         waits[i] = fill_candidate(request, servers[i], now, &levels, &all[i]);
     }
     /* Only what is shared can be held here or there. */
-    prefix_t prefix = {.tokens = prompt_shared(&request->prompt)};
+    prefix_t prefix = {.tokens = prompt_shared_tokens(&request->prompt)};
     place_ask_t ask = {.prefix = &prefix,
                        .objective = relay->settings.objective != 0
                                         ? OBJECTIVE_HITS
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -20,8 +20,8 @@
     if (tokens == NULL) {
         return workspace->plain_tokens;
     }
-    prompt_read_tokens(&prompt, http_head_at(request->head, tokens->value),
-                       tokens->value.len);
+    prompt_parse_tokens(&prompt, http_head_at(request->head, tokens->value),
+                        tokens->value.len);
     return (double)prompt.prompt_tokens + (double)prompt.output_tokens;
 }
 
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -112,17 +112,18 @@
     relay_t *relay = request->relay;
     uint16_t number;
     const relay_service_t *store =
-        cache_store_for(relay, &request->prefix, &number);
+        cache_find_store(relay, &request->prefix, &number);
     cache_view_t view;
-    cache_look(relay, &request->prefix, server, &view);
-    request->cached = view.found ? view.source.tokens : view.here;
+    cache_lookup(relay, &request->prefix, server, &view);
+    request->cached = view.found ? view.source.tokens : view.held_tokens;
     request->saves = false;
-    const char *from = cache_fetch_from(&view, store);
+    const char *from = cache_fetch_address(&view, store);
     if (from != NULL) {
         head_add(out, HEADER_CACHE_FETCH, from);
     }
-    if (store != NULL && !cache_kept(relay, &request->prefix, number) &&
-        cache_save(relay, &request->prefix, server, number)) {
+    if (store != NULL &&
+        !cache_store_has_shared(relay, &request->prefix, number) &&
+        cache_should_save(relay, &request->prefix, server, number)) {
         head_add(out, HEADER_CACHE_SAVE, store->addr);
         request->saves = true;
     }
@@ -134,8 +135,8 @@
              char out[CS_ID_LEN + 1])
 {
     bool isolated = request->workspace != NULL && request->workspace->isolated;
-    prompt_salt(request->prompt.model, weights,
-                isolated ? request->workspace->name : "", out);
+    prompt_format_salt(request->prompt.model, weights,
+                       isolated ? request->workspace->name : "", out);
 }
 
 /* What only engines get: the name of the cache, the weights that it belongs
@@ -146,7 +147,7 @@
     char text[32];
     char salt[CS_ID_LEN + 1];
     request_salt(request, request->weights, salt);
-    prompt_levels(&request->prompt, salt, &request->prefix);
+    prompt_to_levels(&request->prompt, salt, &request->prefix);
     head_add(out, HEADER_CACHE_SALT, salt);
     (void)snprintf(text, sizeof(text), "%lld", (long long)request->weights);
     head_add(out, HEADER_EXPECT_VERSION, text);
@@ -332,8 +333,8 @@
 note_saved(request_t *request)
 {
     uint16_t number;
-    if (cache_store_for(request->relay, &request->prefix, &number) != NULL) {
-        cache_note(request->relay, &request->prefix, number);
+    if (cache_find_store(request->relay, &request->prefix, &number) != NULL) {
+        cache_note_held(request->relay, &request->prefix, number);
     }
 }
 
@@ -369,9 +370,10 @@
     server_subtract_prefill(server, request->unread);
     request->unread = 0;
     if (request->engine) {
-        cache_note(request->relay, &request->prefix, server->number);
+        cache_note_held(request->relay, &request->prefix, server->number);
         server_add_unshared(
-            server, request->prefix.tokens - prompt_shared(&request->prompt));
+            server,
+            request->prefix.tokens - prompt_shared_tokens(&request->prompt));
     }
     if (request->saves) {
         note_saved(request);
--- a/relay/request.c
+++ b/relay/request.c
@@ -364,12 +364,13 @@
                        sizeof(request->prompt.model));
     }
     if (parts != NULL) {
-        prompt_read_parts(&request->prompt, http_head_at(head, parts->value),
-                          parts->value.len);
+        prompt_parse_parts(&request->prompt, http_head_at(head, parts->value),
+                           parts->value.len);
     }
     if (tokens != NULL) {
-        prompt_read_tokens(&request->prompt, http_head_at(head, tokens->value),
-                           tokens->value.len);
+        prompt_parse_tokens(&request->prompt,
+                            http_head_at(head, tokens->value),
+                            tokens->value.len);
     }
 }
 
@@ -470,7 +471,7 @@
     request->engine = service != NULL && service->engine;
     if (request->engine) {
         read_prompt(request);
-        request->home = prompt_home(&request->prompt);
+        request->home = prompt_home_key(&request->prompt);
     }
     set_times(request);
     quota_verdict_t quota = request_ask_quota(request);
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -305,7 +305,7 @@
         return;
     }
     if (report.weights != server->info.weights) {
-        cache_forget(job->rollout->relay, server);
+        cache_clear(job->rollout->relay, server);
         server->info.weights = report.weights;
     }
     if (report.weights >= job->version) {
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -394,7 +394,7 @@
 server_add_unshared(server_t *server, uint32_t tokens)
 {
     server->unshared_tokens += tokens;
-    cached_parts_fill(server->held, tokens);
+    cached_parts_add_unshared(server->held, tokens);
 }
 
 /* What a host's requests have brought in since its last announcement.  A count
@@ -407,7 +407,7 @@
     int32_t more =
         (int32_t)(report->unshared_tokens - before->unshared_tokens);
     if (more > 0) {
-        cached_parts_fill(server->held, (uint32_t)more);
+        cached_parts_add_unshared(server->held, (uint32_t)more);
     }
 }
 
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -173,21 +173,21 @@
     cached_parts_t *unasked = cached_parts_new();
     cache_event_t event = {
         .salt = "s1", .id = "5c1e", .tokens = 700, .grew = true};
-    uint64_t key = prompt_part_key(prompt_part("5c1e", 4), "s1");
-    cache_event_take(relay, unasked, "a", &event);
+    uint64_t key = prompt_part_key(prompt_part_hash("5c1e", 4), "s1");
+    cache_event_apply(relay, unasked, "a", &event);
     ck_assert_uint_eq(notified, 0);
     ck_assert(!cached_parts_has(server->held, key));
-    cache_event_asked(relay, unasked, "a", key + 1);
+    cache_event_note_request(relay, unasked, "a", key + 1);
     ck_assert_uint_eq(notified, 0);
-    cache_event_asked(relay, unasked, "a", key);
+    cache_event_note_request(relay, unasked, "a", key);
     ck_assert_uint_eq(notified, 1);
     ck_assert(cached_parts_has(server->held, key));
-    cache_event_asked(relay, unasked, "a", key);
-    cache_event_take(relay, unasked, "a", &event);
+    cache_event_note_request(relay, unasked, "a", key);
+    cache_event_apply(relay, unasked, "a", &event);
     ck_assert_uint_eq(notified, 1);
     event.grew = false;
     event.tokens = 0;
-    cache_event_take(relay, unasked, "a", &event);
+    cache_event_apply(relay, unasked, "a", &event);
     ck_assert_uint_eq(notified, 2);
     ck_assert(!cached_parts_has(server->held, key));
     cached_parts_free(unasked);
@@ -203,11 +203,12 @@
     cached_parts_t *unasked = cached_parts_new();
     cache_event_t event = {
         .salt = "s1", .id = "5c1e", .tokens = 700, .grew = true};
-    cache_event_take(relay, unasked, "a", &event);
+    cache_event_apply(relay, unasked, "a", &event);
     event.grew = false;
-    cache_event_take(relay, unasked, "a", &event);
-    cache_event_asked(relay, unasked, "a",
-                      prompt_part_key(prompt_part("5c1e", 4), "s1"));
+    cache_event_apply(relay, unasked, "a", &event);
+    cache_event_note_request(
+        relay, unasked, "a",
+        prompt_part_key(prompt_part_hash("5c1e", 4), "s1"));
     ck_assert_uint_eq(notified, 0);
     cached_parts_free(unasked);
     relay_without(relay);
@@ -251,8 +252,8 @@
     cached_parts_t *truth = cached_parts_new();
     rng_t rng = {5};
     unsigned wrong = 0;
-    cached_parts_room(truth, ROOM_TOKENS);
-    cached_parts_room(server->held, ROOM_TOKENS);
+    cached_parts_set_capacity(truth, ROOM_TOKENS);
+    cached_parts_set_capacity(server->held, ROOM_TOKENS);
     for (unsigned step = 0; step < STEPS; step++) {
         uint64_t key = 1 + rng_below(&rng, PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
@@ -260,10 +261,10 @@
         wrong += own && cached_parts_has(server->held, key) &&
                  !cached_parts_has(truth, key);
         cached_parts_use(truth, &part);
-        cached_parts_fill(truth, UNSEEN_TOKENS);
+        cached_parts_add_unshared(truth, UNSEEN_TOKENS);
         if (own) {
             cached_parts_use(server->held, &part);
-            cached_parts_fill(server->held, UNSEEN_TOKENS);
+            cached_parts_add_unshared(server->held, UNSEEN_TOKENS);
         }
         for (uint64_t at = 1; follows && at <= PARTS; at++) {
             const cached_part_t seen = {at, PART_TOKENS, PART_TOKENS};
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -49,7 +49,7 @@
 play(bool limited)
 {
     store_t store = {0};
-    save_share_t shares[HOSTS] = {0};
+    save_bucket_t shares[HOSTS] = {0};
     rng_t rng = {11};
     unsigned asked = 0;
     unsigned fetched = 0;
@@ -59,18 +59,19 @@
         }
         size_t thread = rng_below(&rng, THREADS);
         bool same_dc = rng_below(&rng, 5) == 0;
-        const save_ask_t ask = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
-                                .hosts = HOSTS,
-                                .same_dc = same_dc,
-                                .shared = THREAD_TOKENS,
-                                .own = own_tokens(&rng)};
+        const save_params_t ask = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
+                                   .hosts = HOSTS,
+                                   .same_dc = same_dc,
+                                   .shared_tokens = THREAD_TOKENS,
+                                   .unshared_tokens = own_tokens(&rng)};
         double cost = same_dc ? 1.0 : 2.0;
         bool counts = now > SPAN_MS / 2;
         if (rng_below(&rng, 10) < EVICTED_OF_10) {
             asked += counts;
-            fetched += store.has[thread] && counts &&
-                       transfer(&store, (double)now, ask.shared * cost) &&
-                       store.free_ms - (double)now < IN_TIME_MS;
+            fetched +=
+                store.has[thread] && counts &&
+                transfer(&store, (double)now, ask.shared_tokens * cost) &&
+                store.free_ms - (double)now < IN_TIME_MS;
         }
         if (store.has[thread] ||
             (limited && !cache_save_allowed(&shares[rng_below(&rng, HOSTS)],
@@ -79,7 +80,8 @@
         }
         store.offered++;
         store.has[thread] =
-            transfer(&store, (double)now, (ask.shared + ask.own) * cost);
+            transfer(&store, (double)now,
+                     (ask.shared_tokens + ask.unshared_tokens) * cost);
         store.arrived += store.has[thread];
     }
     store.fetched = (double)fetched / asked;
@@ -102,12 +104,12 @@
 /* Where links are idle, each prompt is saved as soon as it is read. */
 START_TEST(an_idle_link_takes_every_prompt)
 {
-    save_share_t share = {0};
-    const save_ask_t ask = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
-                            .hosts = 4,
-                            .same_dc = false,
-                            .shared = 500,
-                            .own = 8000};
+    save_bucket_t share = {0};
+    const save_params_t ask = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
+                               .hosts = 4,
+                               .same_dc = false,
+                               .shared_tokens = 500,
+                               .unshared_tokens = 8000};
     for (int64_t now = 1000; now < 60000; now += 1000) {
         ck_assert(cache_save_allowed(&share, &ask, now));
     }
@@ -116,10 +118,11 @@
 
 START_TEST(nothing_new_is_not_saved_and_unknown_links_are_not_limited)
 {
-    save_share_t share = {0};
-    save_ask_t ask = {.link_tokens_per_ms = 10, .hosts = 1, .own = 100};
+    save_bucket_t share = {0};
+    save_params_t ask = {
+        .link_tokens_per_ms = 10, .hosts = 1, .unshared_tokens = 100};
     ck_assert(!cache_save_allowed(&share, &ask, 1000));
-    ask.shared = 100000;
+    ask.shared_tokens = 100000;
     ask.link_tokens_per_ms = 0;
     ck_assert(cache_save_allowed(&share, &ask, 1000));
     ck_assert(cache_save_allowed(&share, &ask, 1000));
@@ -129,11 +132,11 @@
 /* A debt is paid before the next prompt, however useful it is. */
 START_TEST(a_debt_is_paid_first)
 {
-    save_share_t share = {0};
-    save_ask_t ask = {.link_tokens_per_ms = 20,
-                      .hosts = 1,
-                      .same_dc = true,
-                      .shared = 50000};
+    save_bucket_t share = {0};
+    save_params_t ask = {.link_tokens_per_ms = 20,
+                         .hosts = 1,
+                         .same_dc = true,
+                         .shared_tokens = 50000};
     ck_assert(cache_save_allowed(&share, &ask, 1000));
     ck_assert(!cache_save_allowed(&share, &ask, 1500));
     ck_assert(cache_save_allowed(&share, &ask, 7000));
--- a/tests/test-cache-source.c
+++ b/tests/test-cache-source.c
@@ -10,9 +10,9 @@
  * still held it, and so told it of no place to fetch it from. */
 START_TEST(a_wrong_belief_does_not_cost_the_prompt)
 {
-    cache_view_t believed = {.here = 5000, .shared = 5000};
-    ck_assert_str_eq(cache_fetch_from(&believed, &store), store.addr);
-    ck_assert_ptr_null(cache_fetch_from(&believed, NULL));
+    cache_view_t believed = {.held_tokens = 5000, .shared_tokens = 5000};
+    ck_assert_str_eq(cache_fetch_address(&believed, &store), store.addr);
+    ck_assert_ptr_null(cache_fetch_address(&believed, NULL));
 }
 END_TEST
 
@@ -20,12 +20,13 @@
  * nothing is fetched nowhere. */
 START_TEST(a_known_source_goes_first)
 {
-    cache_view_t view = {.here = 100, .shared = 5000, .found = true};
+    cache_view_t view = {
+        .held_tokens = 100, .shared_tokens = 5000, .found = true};
     str_copy(view.source.addr, sizeof(view.source.addr), "127.0.0.1:7");
-    ck_assert_str_eq(cache_fetch_from(&view, &store), "127.0.0.1:7");
-    ck_assert_str_eq(cache_fetch_from(&view, NULL), "127.0.0.1:7");
-    cache_view_t own = {.shared = 0};
-    ck_assert_ptr_null(cache_fetch_from(&own, &store));
+    ck_assert_str_eq(cache_fetch_address(&view, &store), "127.0.0.1:7");
+    ck_assert_str_eq(cache_fetch_address(&view, NULL), "127.0.0.1:7");
+    cache_view_t own = {.shared_tokens = 0};
+    ck_assert_ptr_null(cache_fetch_address(&own, &store));
 }
 END_TEST
 
@@ -33,11 +34,12 @@
  */
 START_TEST(a_fetch_takes_the_links_time)
 {
-    cache_view_t view = {.here = 1000, .shared = 5000, .found = true};
+    cache_view_t view = {
+        .held_tokens = 1000, .shared_tokens = 5000, .found = true};
     view.source.tokens = 5000;
     view.source.ms_per_token = 0.013;
     double far = cache_fetch_ms(&view);
-    view.here = 5000;
+    view.held_tokens = 5000;
     double nothing = cache_fetch_ms(&view);
     ck_assert_double_eq_tol(far - nothing, 52, 0.001);
     view.found = false;
@@ -82,15 +84,15 @@
     cache_view_t view;
     put_part(relay, gap, 11);
     put_part(relay, gap, 13);
-    cache_look(relay, &prefix, gap, &view);
-    ck_assert_uint_eq(view.here, 100);
-    cache_look(relay, &prefix, other, &view);
+    cache_lookup(relay, &prefix, gap, &view);
+    ck_assert_uint_eq(view.held_tokens, 100);
+    cache_lookup(relay, &prefix, other, &view);
     ck_assert(view.found);
     ck_assert_uint_eq(view.source.tokens, 100);
     put_part(relay, whole, 11);
     put_part(relay, whole, 12);
     put_part(relay, whole, 13);
-    cache_look(relay, &prefix, gap, &view);
+    cache_lookup(relay, &prefix, gap, &view);
     ck_assert(view.found);
     ck_assert_uint_eq(view.source.tokens, 900);
     ck_assert_str_eq(view.source.addr, "127.0.0.1:2");
@@ -114,10 +116,10 @@
         .levels = {{11, 100}, {12, 300}}, .count = 2, .tokens = 300};
     cache_view_t view;
     put_part(relay, source, 11);
-    cache_look(relay, &prefix, older, &view);
+    cache_lookup(relay, &prefix, older, &view);
     ck_assert(view.found);
     source->info.weights = older->info.weights + 1;
-    cache_look(relay, &prefix, older, &view);
+    cache_lookup(relay, &prefix, older, &view);
     ck_assert(!view.found);
     servers_free(relay->servers);
     cache_map_free(relay->cache);
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -28,20 +28,20 @@
 START_TEST(what_was_used_least_recently_is_gone_first)
 {
     cached_parts_t *held = cached_parts_new();
-    cached_parts_room(held, 1000);
+    cached_parts_set_capacity(held, 1000);
     use(held, 1, 400);
     use(held, 2, 400);
     use(held, 1, 400);
-    cached_parts_fill(held, 599);
+    cached_parts_add_unshared(held, 599);
     ck_assert(cached_parts_has(held, 1));
     ck_assert(cached_parts_has(held, 2));
-    cached_parts_fill(held, 2);
+    cached_parts_add_unshared(held, 2);
     ck_assert(cached_parts_has(held, 1));
     ck_assert(!cached_parts_has(held, 2));
-    cached_parts_fill(held, 100000);
+    cached_parts_add_unshared(held, 100000);
     ck_assert(!cached_parts_has(held, 1));
     use(held, 3, 10);
-    cached_parts_forget(held);
+    cached_parts_clear(held);
     ck_assert(!cached_parts_has(held, 3));
     cached_parts_free(held);
 }
@@ -53,10 +53,10 @@
 {
     cached_parts_t *held = cached_parts_new();
     use(held, 1, 400);
-    cached_parts_room(held, 0);
-    cached_parts_room(held, -7);
+    cached_parts_set_capacity(held, 0);
+    cached_parts_set_capacity(held, -7);
     ck_assert(cached_parts_has(held, 1));
-    cached_parts_room(held, 500);
+    cached_parts_set_capacity(held, 500);
     use(held, 2, 300);
     use(held, 3, 300);
     ck_assert(!cached_parts_has(held, 1));
@@ -80,7 +80,7 @@
     servers_t *servers = servers_new();
     server_entry_t entry = {.id = "a", .service = "s", .addr = "127.0.0.1:1"};
     server_t *server = servers_put(servers, &entry);
-    cached_parts_room(server->held, 1000);
+    cached_parts_set_capacity(server->held, 1000);
     use(server->held, 1, 500);
     server_peer_load_t report = {
         .host = 9, .received_ms = 1, .unshared_tokens = UINT32_MAX - 10};
@@ -139,7 +139,7 @@
         cached_parts_t *held = cached_parts_new();
         uint32_t late = 0;
         uint64_t own = 1000;
-        cached_parts_room(held, (int64_t)ENGINE_BLOCKS * BLOCK_TOKENS);
+        cached_parts_set_capacity(held, (int64_t)ENGINE_BLOCKS * BLOCK_TOKENS);
         for (unsigned i = 0; i < 600; i++) {
             uint64_t key = rng_next(&rng) % PARTS;
             uint64_t blocks = rng_next(&rng) % 300;
@@ -152,7 +152,7 @@
             use(held, key, PART_BLOCKS * BLOCK_TOKENS);
             late += (uint32_t)blocks * BLOCK_TOKENS;
             if (rng_next(&rng) % 5 != 0) {
-                cached_parts_fill(held, late);
+                cached_parts_add_unshared(held, late);
                 late = 0;
             }
         }
@@ -232,8 +232,8 @@
     for (unsigned i = 0; i < SERVERS; i++) {
         servers[i].engine = engine_cache_new(SMALL_BLOCKS);
         servers[i].held = cached_parts_new();
-        cached_parts_room(servers[i].held,
-                          (int64_t)SMALL_BLOCKS * BLOCK_TOKENS);
+        cached_parts_set_capacity(servers[i].held,
+                                  (int64_t)SMALL_BLOCKS * BLOCK_TOKENS);
         for (unsigned f = 0; f < FAMILIES; f++) {
             servers[i].noted_s[f] = -AGE_S;
         }
@@ -260,7 +260,7 @@
         engine_read(server->engine, family, FAMILY_BLOCKS);
         engine_read(server->engine, own++, OWN_BLOCKS);
         use(server->held, family, FAMILY_BLOCKS * BLOCK_TOKENS);
-        cached_parts_fill(server->held, OWN_BLOCKS * BLOCK_TOKENS);
+        cached_parts_add_unshared(server->held, OWN_BLOCKS * BLOCK_TOKENS);
         server->noted_s[family] = now;
     }
     for (unsigned i = 0; i < SERVERS; i++) {
--- a/tests/test-kv-stores.c
+++ b/tests/test-kv-stores.c
@@ -45,15 +45,15 @@
     for (unsigned i = 0; i < 2 * PARTS; i++) {
         uint64_t key = part_key(i % PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
-        int at = kv_stores_for(stores, key);
+        int at = kv_stores_choose(stores, key);
         cached_parts_use(stores->all[at].held, &part);
     }
     for (unsigned i = 0; i < PARTS; i++) {
         uint64_t key = part_key(i);
-        kept +=
-            cached_parts_has(stores->all[kv_stores_for(stores, key)].held, key)
-                ? 1
-                : 0;
+        kept += cached_parts_has(
+                    stores->all[kv_stores_choose(stores, key)].held, key)
+                    ? 1
+                    : 0;
     }
     return kept;
 }
@@ -87,14 +87,14 @@
     kv_stores_sync(&stores, three);
     (void)parts_kept(&stores);
     for (unsigned i = 0; i < PARTS; i++) {
-        int at = kv_stores_for(&stores, part_key(i));
+        int at = kv_stores_choose(&stores, part_key(i));
         str_copy(before[i], CS_NAME_MAX, stores.all[at].name);
     }
     kv_stores_sync(&stores, two);
-    ck_assert_int_eq(kv_stores_named(&stores, "kept-1"), -1);
+    ck_assert_int_eq(kv_stores_find(&stores, "kept-1"), -1);
     for (unsigned i = 0; i < PARTS; i++) {
         const kv_store_t *store =
-            &stores.all[kv_stores_for(&stores, part_key(i))];
+            &stores.all[kv_stores_choose(&stores, part_key(i))];
         if (strcmp(before[i], "kept-1") != 0) {
             ck_assert_str_eq(store->name, before[i]);
             ck_assert(cached_parts_has(store->held, part_key(i)));
@@ -114,13 +114,13 @@
     relay_config_t *none = config_of(0, 9);
     relay_config_t *many = config_of(KV_STORES_MAX + 3, 99);
     kv_stores_sync(&stores, none);
-    ck_assert_int_eq(kv_stores_for(&stores, 7), -1);
+    ck_assert_int_eq(kv_stores_choose(&stores, 7), -1);
     kv_stores_sync(&stores, many);
     for (uint64_t key = 0; key < 100; key++) {
-        ck_assert_int_ge(kv_stores_for(&stores, key), 0);
+        ck_assert_int_ge(kv_stores_choose(&stores, key), 0);
     }
     kv_stores_sync(&stores, none);
-    ck_assert_int_eq(kv_stores_for(&stores, 7), -1);
+    ck_assert_int_eq(kv_stores_choose(&stores, 7), -1);
     kv_stores_free(&stores);
     relay_config_release(none);
     relay_config_release(many);
--- a/tests/test-prompt.c
+++ b/tests/test-prompt.c
@@ -7,7 +7,7 @@
 prompt_of(const char *parts)
 {
     prompt_t prompt = {0};
-    prompt_read_parts(&prompt, parts, strlen(parts));
+    prompt_parse_parts(&prompt, parts, strlen(parts));
     return prompt;
 }
 
@@ -16,11 +16,11 @@
 {
     const prompt_t prompt = prompt_of("5c1e07a2:800,91bd3f06:410,e4402b7d:9");
     prefix_t levels;
-    prompt_levels(&prompt, "s1", &levels);
+    prompt_to_levels(&prompt, "s1", &levels);
     ck_assert_uint_eq(levels.count, 3);
     ck_assert_uint_eq(levels.levels[1].tokens, 1210);
     ck_assert_uint_eq(levels.levels[1].key,
-                      prompt_part_key(prompt_part("91bd3f06", 8), "s1"));
+                      prompt_part_key(prompt_part_hash("91bd3f06", 8), "s1"));
 }
 END_TEST
 
@@ -28,11 +28,11 @@
  * for a prompt's own. */
 START_TEST(a_part_has_another_key_under_another_salt)
 {
-    uint64_t part = prompt_part("91bd3f06", 8);
+    uint64_t part = prompt_part_hash("91bd3f06", 8);
     ck_assert_uint_ne(prompt_part_key(part, "s1"),
                       prompt_part_key(part, "s2"));
     ck_assert_uint_ne(prompt_part_key(part, "s1"),
-                      prompt_part_key(prompt_part("91bd3f07", 8), "s1"));
+                      prompt_part_key(prompt_part_hash("91bd3f07", 8), "s1"));
 }
 END_TEST
 
--- a/tests/test-relay-config.c
+++ b/tests/test-relay-config.c
@@ -267,10 +267,10 @@
     char newer[CS_ID_LEN + 1];
     char mine[CS_ID_LEN + 1];
     char theirs[CS_ID_LEN + 1];
-    prompt_salt("m", 1, "", shared);
-    prompt_salt("m", 2, "", newer);
-    prompt_salt("m", 1, "a", mine);
-    prompt_salt("m", 1, "b", theirs);
+    prompt_format_salt("m", 1, "", shared);
+    prompt_format_salt("m", 2, "", newer);
+    prompt_format_salt("m", 1, "a", mine);
+    prompt_format_salt("m", 1, "b", theirs);
     ck_assert_str_ne(shared, newer);
     ck_assert_str_ne(shared, mine);
     ck_assert_str_ne(mine, theirs);
@@ -282,11 +282,11 @@
     prompt_t prompt = {0};
     prefix_t prefix;
     static const char parts[] = "5c1e07a2:800,91bd3f06:410, e4402b7d:250";
-    prompt_read_parts(&prompt, parts, strlen(parts));
-    prompt_read_tokens(&prompt, "1460,80", 7);
+    prompt_parse_parts(&prompt, parts, strlen(parts));
+    prompt_parse_tokens(&prompt, "1460,80", 7);
     ck_assert_uint_eq(prompt.count, 3);
     ck_assert_uint_eq(prompt.output_tokens, 80);
-    prompt_levels(&prompt, "salt", &prefix);
+    prompt_to_levels(&prompt, "salt", &prefix);
     ck_assert_uint_eq(prefix.levels[1].tokens, 1210);
     ck_assert_uint_eq(prefix.tokens, 1460);
 }
