--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -8,7 +8,7 @@
 
 /* The numbers from which on the cache map knows the kv stores. */
 #define KV_STORE_NUMBER_MIN SERVER_NUMBERS_MAX
-_Static_assert(KV_STORE_NUMBER_MIN + KV_STORES_MAX == SERVERS_MAX,
+_Static_assert(KV_STORE_NUMBER_MIN + KV_STORES_MAX == HOLDER_NUMBERS_MAX,
                "numbers of stores");
 
 typedef struct {
--- a/relay/cached-parts.c
+++ b/relay/cached-parts.c
@@ -4,20 +4,22 @@
 #include <ck_queue.h>
 #include <stdlib.h>
 
-/* A prompt's own part is never asked for again, but it pushes others out, so
- * it stands in the order of use as an entry without a key.  Neighbours of that
- * kind are made one, which bounds the entries by about two for each part. */
+/* The unshared part of a prompt is never requested again, but it takes up
+ * memory and evicts others, so it has an entry without a key.  Adjacent
+ * entries without a key are merged, so there are about two entries for each
+ * part at most. */
 
 #define BUCKETS 256
-/* Room of a cache of unknown size, tokens: a small engine's. */
-#define ROOM_UNKNOWN_TOKENS 100000
-/* Parts of no tokens cost no room, so the number of entries is bounded too. */
+/* Assumed capacity of a cache of unknown size: that of a small engine. */
+#define CAPACITY_DEFAULT_TOKENS 100000
+/* Parts of 0 tokens take up no capacity, so the number of entries is bounded
+ * too. */
 #define ENTRIES_MAX 16384
 
 typedef struct cached_entry {
     CK_LIST_ENTRY(cached_entry) bucket;
     lru_link_t lru;
-    bool keyed; /* else filling of no further use */
+    bool keyed; /* a shared part; false for merged unshared tokens */
     cached_part_t part;
 } cached_entry_t;
 
@@ -27,15 +29,15 @@
     cached_bucket_t buckets[BUCKETS];
     lru_t lru;
     size_t count;
-    int64_t tokens; /* of all entries */
-    int64_t room;
+    int64_t tokens;   /* in all entries */
+    int64_t capacity; /* tokens */
 };
 
 cached_parts_t *
 cached_parts_new(void)
 {
     cached_parts_t *held = mem_zalloc(sizeof(*held));
-    held->room = ROOM_UNKNOWN_TOKENS;
+    held->capacity = CAPACITY_DEFAULT_TOKENS;
     return held;
 }
 
@@ -69,31 +71,32 @@
     return NULL;
 }
 
-/* Drop what the cache no longer has room for.  A part goes when all of it is
- * pushed out: of one that is partly there the rest is still of use. */
+/* Evicts the oldest entries while the cache exceeds its capacity.  A part is
+ * removed only when all of its tokens are evicted: the rest of one that is
+ * partly evicted can still be used. */
 static void
-drop_oldest(cached_parts_t *held)
+evict_oldest(cached_parts_t *held)
 {
     cached_entry_t *oldest;
     while ((oldest = entry_of(held->lru.oldest)) != NULL &&
-           (held->tokens - oldest->part.tokens >= held->room ||
+           (held->tokens - oldest->part.tokens >= held->capacity ||
             held->count > ENTRIES_MAX)) {
         entry_free(held, oldest);
     }
 }
 
-/* How many tokens the cache holds at most; what is not above 0 says nothing
- * and is left out. */
+/* Sets the capacity of the cache in tokens; values that are not positive are
+ * ignored. */
 void
 cached_parts_set_capacity(cached_parts_t *held, int64_t tokens)
 {
-    if (tokens > 0 && tokens != held->room) {
-        held->room = tokens;
-        drop_oldest(held);
+    if (tokens > 0 && tokens != held->capacity) {
+        held->capacity = tokens;
+        evict_oldest(held);
     }
 }
 
-/* The cache was emptied. */
+/* Removes all entries. */
 void
 cached_parts_clear(cached_parts_t *held)
 {
@@ -111,7 +114,7 @@
     }
 }
 
-/* A request used a part, which the cache has from now on if it had not. */
+/* Marks a part as the most recently used one, adding it if it is missing. */
 void
 cached_parts_use(cached_parts_t *held, const cached_part_t *part)
 {
@@ -127,10 +130,10 @@
     lru_add(&held->lru, &entry->lru);
     held->tokens += part->tokens;
     held->count++;
-    drop_oldest(held);
+    evict_oldest(held);
 }
 
-/* A part was evicted, whatever the order of use says. */
+/* Removes a part, whatever its place in the order of use. */
 void
 cached_parts_remove(cached_parts_t *held, uint64_t key)
 {
@@ -140,7 +143,7 @@
     }
 }
 
-/* So many tokens went in that no other request will ask for. */
+/* Adds tokens that no other request shares. */
 void
 cached_parts_add_unshared(cached_parts_t *held, uint32_t tokens)
 {
@@ -155,10 +158,10 @@
     }
     entry->part.tokens += tokens;
     held->tokens += tokens;
-    drop_oldest(held);
+    evict_oldest(held);
 }
 
-/* A part that is believed to be there, or NULL. */
+/* Returns a part, or NULL if it is not held. */
 const cached_part_t *
 cached_parts_get(const cached_parts_t *held, uint64_t key)
 {
@@ -166,14 +169,15 @@
     return entry != NULL ? &entry->part : NULL;
 }
 
-/* Whether a part is believed to be there. */
+/* Returns whether a part is held. */
 bool
 cached_parts_has(const cached_parts_t *held, uint64_t key)
 {
     return entry_find(held, key) != NULL;
 }
 
-/* The parts that are held, the one used last first; how many were written. */
+/* Writes the held parts, most recently used first, and returns their number,
+ * at most max. */
 size_t
 cached_parts_list(const cached_parts_t *held, cached_part_t *out, size_t max)
 {
--- a/relay/cached-parts.h
+++ b/relay/cached-parts.h
@@ -1,10 +1,9 @@
 #ifndef CELERYSPOOL_CACHED_PARTS_H
 #define CELERYSPOOL_CACHED_PARTS_H
 
-/* What a prefix cache is believed to hold: the parts of prompts that went in,
- * in the order of their last use.  The cache drops the least recently used
- * parts when it is full, and so does this.  No I/O and no clock.  One thread
- * uses it. */
+/* Estimated contents of a prefix cache: prompt parts in the order of their
+ * last use.  Like the cache, it evicts the least recently used parts when it
+ * is full.  No I/O and no clock.  Not thread-safe. */
 
 #include "../kernel/base.h"
 
@@ -12,8 +11,8 @@
 
 typedef struct {
     uint64_t key;
-    uint32_t prompt_tokens; /* of the prompt up to this part's end */
-    uint32_t tokens;        /* of this part alone */
+    uint32_t prompt_tokens; /* from the prompt's start to the part's end */
+    uint32_t tokens;        /* in the part alone */
 } cached_part_t;
 
 cached_parts_t *cached_parts_new(void);
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -3,45 +3,44 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A server whose connections fail is left alone for a second, then for twice
- * as long each time, ms.  The bound keeps a server that came back from being
- * unused for long. */
-#define CIRCUIT_FIRST_MS 500
-#define CIRCUIT_LAST_MS 4000
-/* Faults in a row that open the circuit.  A connection that cannot be made is
- * proof enough by itself; a single broken answer is not. */
-#define CIRCUIT_FAULTS 2
-/* A server that is silent for so long while it has work is probed, ms.
- * Engines send the events of a stream every few tens of ms; one
- * that only reads prompts can be silent for longer, and then answers. */
-#define SILENCE_MS 300
-/* A silent server is asked again this often, ms. */
-#define SILENT_AGAIN_MS 500
-/* Another host's load at a server is valid for so long, ms. */
-#define OTHER_FRESH_MS 1000
-/* A server that has answered no host for so long is not a source to fetch
- * from, ms. */
-#define LIFE_MS 2000
-/* A server's reported load is valid for so long, ms. */
-#define LOAD_FRESH_MS 1000
-/* Time that a request takes a slot where none was seen yet, ms. */
-#define HOLD_UNKNOWN_MS 500.0
-/* Weight of the newest one in the smoothed time. */
-#define HOLD_WEIGHT 0.1
-/* Peers are notified of a server with this part of its slots taken, and again
- * after so long, ms. */
-#define CROWDED_PART 0.75
-#define CROWDED_AGAIN_MS 200
-/* How slow a server reads against what is expected of all: weight of the
- * newest answer, and bounds that keep one odd answer from moving much. */
-#define SPEED_WEIGHT 0.15
-#define SPEED_RATIO_LEAST 0.5
-#define SPEED_RATIO_MOST 3.0
-/* Part of its speed at which a server is expected to read what is booked: an
- * answer's tokens are made between the pieces of prompts, and with one behind
- * the other they take so long that long answers miss their deadlines. */
-#define BOOKED_PART 0.85
-/* Weight of the newest answer in the share of errors: about the last ten. */
+/* Time that the circuit stays open, doubled for each further fault in a row.
+ * The maximum keeps a recovered server from staying unused for long. */
+#define CIRCUIT_OPEN_MS_MIN 500
+#define CIRCUIT_OPEN_MS_MAX 4000
+/* Broken answers in a row that open the circuit.  A failed connect or a
+ * timeout opens it at once. */
+#define CIRCUIT_FAULTS_MIN 2
+/* A server that sends nothing for this long while it has requests is probed.
+ * Engines send the events of a stream every few tens of ms; one that only
+ * prefills can be silent for longer, and then answers the probe. */
+#define PROBE_SILENCE_MS 300
+/* Interval between probes of an unresponsive server. */
+#define PROBE_RETRY_MS 500
+/* Another host's announced load expires after this time. */
+#define PEER_LOAD_VALID_MS 1000
+/* A server that has answered no host for this long is not a fetch source. */
+#define SOURCE_ALIVE_MS 2000
+/* A server's own load report expires after this time. */
+#define REPORT_VALID_MS 1000
+/* Assumed time that a request occupies a slot before one was observed. */
+#define SLOT_TIME_DEFAULT_MS 500.0
+/* Weight of the newest observation in the smoothed slot time. */
+#define SLOT_TIME_WEIGHT 0.1
+/* A server's load report is passed on to peers if at least this share of its
+ * slots is taken, once in an interval at most. */
+#define ANNOUNCE_SLOTS_SHARE 0.75
+#define ANNOUNCE_INTERVAL_MS 200
+/* Weight of the newest observation in the smoothed slowness, and bounds of a
+ * single observation that limit the effect of an outlier. */
+#define SLOWNESS_WEIGHT 0.15
+#define SLOWNESS_MIN 0.5
+#define SLOWNESS_MAX 3.0
+/* Share of its speed at which a server is assumed to prefill its backlog.
+ * Decode steps run between the chunks of prompts; under uninterrupted prefill
+ * they take so long that long answers miss their deadlines. */
+#define BACKLOG_SPEED_SHARE 0.85
+/* Weight of the newest answer in the smoothed share of errors, which covers
+ * about the last ten answers. */
 #define ERROR_WEIGHT 0.1
 
 servers_t *
@@ -74,7 +73,7 @@
     return NULL;
 }
 
-/* The server with a key, or NULL. */
+/* Returns the server with a key, or NULL. */
 server_t *
 servers_find_by_key(const servers_t *servers, uint32_t key)
 {
@@ -87,7 +86,7 @@
     return NULL;
 }
 
-/* The server with a number, or NULL for an unused one. */
+/* Returns the server with a number, or NULL if the number is unused. */
 server_t *
 servers_find_by_number(const servers_t *servers, uint16_t number)
 {
@@ -95,7 +94,7 @@
 }
 
 static int
-number_free(const servers_t *servers)
+find_free_number(const servers_t *servers)
 {
     for (int i = 0; i < SERVER_NUMBERS_MAX; i++) {
         if (servers->numbered[i] == NULL) {
@@ -105,9 +104,9 @@
     return -1;
 }
 
-/* Forget what was seen of an earlier start of a server. */
+/* Resets what was observed before the server restarted or changed address. */
 static void
-server_renew(server_t *server)
+reset_observations(server_t *server)
 {
     server->consecutive_faults = 0;
     server->circuit_open_until_ms = 0;
@@ -120,13 +119,14 @@
     server->unresponsive = false;
 }
 
-/* Take an entry in; NULL if there is no number left for a new one. */
+/* Adds or updates a server by its entry.  Returns NULL if no number is free
+ * for a new one. */
 server_t *
 servers_put(servers_t *servers, const server_entry_t *entry)
 {
     server_t *server = servers_find(servers, entry->id);
     if (server == NULL) {
-        int number = number_free(servers);
+        int number = find_free_number(servers);
         if (number < 0) {
             return NULL;
         }
@@ -140,16 +140,16 @@
         servers->count++;
     }
     if (entry->weights > server->info.weights) {
-        /* Whoever ordered the load may have learnt of its end from this entry
-         * too and notify nobody: without this the server would stay unused
-         * here until the notice of its load expires. */
+        /* The host that ordered the load may have learnt of its end from the
+         * same entry, and then notifies no peer.  Without this the server
+         * would stay unused here until the notice of its load expires. */
         server->loading_until_ms = 0;
     }
     bool renewed = server->info.started_ms != entry->started_ms ||
                    strcmp(server->info.addr, entry->addr) != 0;
     server->info = *entry;
     if (renewed) {
-        server_renew(server);
+        reset_observations(server);
     }
     server->missing_since_ms = 0;
     server->list_generation = servers->list_generation;
@@ -166,7 +166,7 @@
     free(server);
 }
 
-/* Free what is gone and no longer used by a request. */
+/* Frees removed servers that no request uses. */
 void
 servers_sweep(servers_t *servers)
 {
@@ -179,36 +179,40 @@
     }
 }
 
-/* Prompt tokens of all hosts that a server would still have to read if it kept
- * a part of its time for answers.  More than what is unread: it does not fall
- * to nothing where a server has just caught up. */
+/* Returns the prompt tokens of all hosts that a server would still have to
+ * prefill if it reserved a share of its time for decoding.  Unlike the tokens
+ * that are not prefilled yet, this does not drop to 0 as soon as the server
+ * has caught up. */
 double
 server_update_backlog(server_t *server, int64_t now_ms)
 {
     double speed =
-        SERVER_PREFILL_TOKENS_PER_MS * BOOKED_PART / server->slowness;
-    double read = (double)(now_ms - server->backlog_updated_ms) * speed;
-    server->backlog_tokens =
-        server->backlog_tokens > read ? server->backlog_tokens - read : 0;
+        SERVER_PREFILL_TOKENS_PER_MS * BACKLOG_SPEED_SHARE / server->slowness;
+    double done_tokens = (double)(now_ms - server->backlog_updated_ms) * speed;
+    server->backlog_tokens = server->backlog_tokens > done_tokens
+                                 ? server->backlog_tokens - done_tokens
+                                 : 0;
     server->backlog_updated_ms = now_ms;
     return server->backlog_tokens;
 }
 
-/* A request goes to it that makes it read so many tokens. */
+/* Counts a request that is sent to the server and the tokens of its prompt
+ * that the server has to prefill. */
 void
-server_add_request(server_t *server, double unread_tokens, int64_t now_ms)
+server_add_request(server_t *server, double prefill_tokens, int64_t now_ms)
 {
     if (server->own_running == 0) {
         server->busy_since_ms = now_ms;
     }
     server->own_running++;
     server->backlog_tokens =
-        server_update_backlog(server, now_ms) + unread_tokens;
-    server->sent_tokens += (uint32_t)unread_tokens;
-    server->own_prefill_tokens += unread_tokens;
+        server_update_backlog(server, now_ms) + prefill_tokens;
+    server->sent_tokens += (uint32_t)prefill_tokens;
+    server->own_prefill_tokens += prefill_tokens;
 }
 
-/* So many tokens of a request's prompt are read, or will not be. */
+/* Subtracts tokens of a request's prompt that have been prefilled or no longer
+ * will be. */
 void
 server_subtract_prefill(server_t *server, double tokens)
 {
@@ -232,16 +236,16 @@
     server->reported_ms = now_ms;
 }
 
-/* Whether the load that a server reported is recent. */
+/* Returns whether the server's own load report has not expired. */
 bool
 server_has_recent_load(const server_t *server, int64_t now_ms)
 {
     return server->reported_ms != 0 &&
-           now_ms - server->reported_ms < LOAD_FRESH_MS;
+           now_ms - server->reported_ms < REPORT_VALID_MS;
 }
 
-/* Requests of all hosts at a server, waiting ones included: by its own report
- * while that is recent, and at least the sum of what the hosts announce. */
+/* Returns the requests of all hosts at a server, running or waiting: the
+ * larger of its own recent report and the sum of the hosts' announcements. */
 int
 server_count_in_flight(const server_t *server, int64_t now_ms)
 {
@@ -253,20 +257,20 @@
     return running;
 }
 
-/* Time until a slot is free for one more request, ms.  It answers servers with
- * few slots and short prompts: nothing there is unread for long, and yet
- * requests wait behind answers that are being made. */
+/* Returns the estimated time until a slot is free for one more request.  This
+ * covers servers with few slots and short prompts, where prefill is quick but
+ * requests wait for running answers to end. */
 double
 server_slot_wait_ms(const server_t *server, int64_t now_ms)
 {
     int slots = server->info.slots;
     int over = server_count_in_flight(server, now_ms) - slots + 1;
     double hold =
-        server->slot_time_ms > 0 ? server->slot_time_ms : HOLD_UNKNOWN_MS;
+        server->slot_time_ms > 0 ? server->slot_time_ms : SLOT_TIME_DEFAULT_MS;
     return slots > 0 && over > 0 ? over * hold / slots : 0;
 }
 
-/* A request had a slot for so long. */
+/* Records how long a request occupied a slot. */
 void
 server_observe_slot_time(server_t *server, double ms)
 {
@@ -274,38 +278,38 @@
         server->slot_time_ms = ms;
         return;
     }
-    server->slot_time_ms += HOLD_WEIGHT * (ms - server->slot_time_ms);
+    server->slot_time_ms += SLOT_TIME_WEIGHT * (ms - server->slot_time_ms);
 }
 
-/* Whether other hosts are notified of the server's reported load: only
- * of one whose slots are nearly taken, and not too often. */
+/* Returns whether to pass the server's load report on to peers now: only if
+ * most of its slots are taken, and once in an interval at most. */
 bool
 server_should_announce_load(server_t *server, int64_t now_ms)
 {
     int taken = server->reported_running + server->reported_waiting;
-    if (taken < server->info.slots * CROWDED_PART ||
-        now_ms - server->load_announced_ms < CROWDED_AGAIN_MS) {
+    if (taken < server->info.slots * ANNOUNCE_SLOTS_SHARE ||
+        now_ms - server->load_announced_ms < ANNOUNCE_INTERVAL_MS) {
         return false;
     }
     server->load_announced_ms = now_ms;
     return true;
 }
 
-/* Count a fault; enough of them leave the server alone for a while. */
+/* Records a fault and opens the circuit if there were enough in a row. */
 void
 server_record_fault(server_t *server, server_fault_t fault, int64_t now_ms)
 {
     server->consecutive_faults++;
     switch (fault) {
         case SERVER_FAULT_ERROR:
-            /* Its answers are good or bad one by one: only the share of bad
-             * ones counts, see request-place.c. */
+            /* The server works, so the circuit stays closed; placement takes
+             * the share of errors into account, see request-place.c. */
             server->error_share += ERROR_WEIGHT * (1 - server->error_share);
             server->consecutive_faults--;
             return;
         case SERVER_FAULT_BROKEN:
             server->error_share += ERROR_WEIGHT * (1 - server->error_share);
-            if (server->consecutive_faults < CIRCUIT_FAULTS) {
+            if (server->consecutive_faults < CIRCUIT_FAULTS_MIN) {
                 return;
             }
             break;
@@ -316,9 +320,9 @@
     unsigned doublings = server->consecutive_faults - 1 < 3
                              ? server->consecutive_faults - 1
                              : 3;
-    int64_t pause = (int64_t)CIRCUIT_FIRST_MS << doublings;
+    int64_t pause = (int64_t)CIRCUIT_OPEN_MS_MIN << doublings;
     server->circuit_open_until_ms =
-        now_ms + (pause < CIRCUIT_LAST_MS ? pause : CIRCUIT_LAST_MS);
+        now_ms + (pause < CIRCUIT_OPEN_MS_MAX ? pause : CIRCUIT_OPEN_MS_MAX);
 }
 
 void
@@ -328,7 +332,8 @@
     server->error_share -= ERROR_WEIGHT * server->error_share;
 }
 
-/* Whether it is there, at its address, and answers, as far as is known. */
+/* Returns whether the server is listed, has its address to itself and is not
+ * known to be unresponsive. */
 static bool
 is_reachable(const server_t *server, int64_t now_ms)
 {
@@ -336,32 +341,32 @@
            !server->address_taken && now_ms >= server->circuit_open_until_ms;
 }
 
-/* Whether new work may go to it at all. */
+/* Returns whether new requests may go to the server. */
 bool
 server_is_usable(const server_t *server, int64_t now_ms)
 {
     return is_reachable(server, now_ms) && !server->info.draining;
 }
 
-/* The server has answered this host, or another that reports it. */
+/* Records that the server answered this host or a host that reported it. */
 void
 server_confirm_alive(server_t *server, int64_t now_ms)
 {
     server->confirmed_alive_ms = now_ms;
 }
 
-/* Whether other servers may fetch from it.  A dark server takes
- * nothing in, so what it held is believed for as long as it is dark; whoever
- * is sent there waits some hundred ms and then reads the prompt all the same.
- */
+/* Returns whether other servers may fetch cached parts from this one.  An
+ * unreachable server takes in nothing new, so its estimated cache contents
+ * never change; a server told to fetch from it waits some hundred ms and then
+ * prefills the prompt anyway. */
 bool
 server_is_fetch_source(const server_t *server, int64_t now_ms)
 {
     return is_reachable(server, now_ms) && server->confirmed_alive_ms != 0 &&
-           now_ms - server->confirmed_alive_ms < LIFE_MS;
+           now_ms - server->confirmed_alive_ms < SOURCE_ALIVE_MS;
 }
 
-/* Something came from the server. */
+/* Records that data arrived from the server. */
 void
 server_note_answer(server_t *server, int64_t now_ms)
 {
@@ -370,9 +375,9 @@
     server_confirm_alive(server, now_ms);
 }
 
-/* Whether to ask a server if it is there at all.  A host that lost power or
- * its path refuses nothing and closes nothing: requests to it would wait for
- * their deadlines, and new ones would join them. */
+/* Returns whether to probe the server now.  A machine that lost power or its
+ * network path neither refuses nor closes connections: without a probe
+ * requests to it would wait until their deadlines, and more would follow. */
 bool
 server_needs_probe(const server_t *server, int64_t now_ms)
 {
@@ -380,16 +385,16 @@
         return false;
     }
     if (server->unresponsive) {
-        return now_ms - server->probed_ms >= SILENT_AGAIN_MS;
+        return now_ms - server->probed_ms >= PROBE_RETRY_MS;
     }
     int64_t since = server->answered_ms > server->busy_since_ms
                         ? server->answered_ms
                         : server->busy_since_ms;
-    return server->own_running > 0 && now_ms - since >= SILENCE_MS;
+    return server->own_running > 0 && now_ms - since >= PROBE_SILENCE_MS;
 }
 
-/* A request of this host brought tokens into the server's cache that no other
- * request will ask for. */
+/* Records tokens that a request of this host brought into the server's cache
+ * and that no other request shares. */
 void
 server_add_unshared(server_t *server, uint32_t tokens)
 {
@@ -397,12 +402,13 @@
     cached_parts_add_unshared(server->held, tokens);
 }
 
-/* What a host's requests have brought in since its last announcement.  A count
- * that goes back is of a host that has started anew, or of a datagram that
- * came late; taken for a wrap it would empty the list. */
+/* Applies the unshared tokens that a host's requests have brought into the
+ * cache since its last announcement.  A total that decreases comes from a
+ * restarted host or a late datagram; treated as a wrap it would evict every
+ * part. */
 static void
-fill_since(server_t *server, const server_peer_load_t *before,
-           const server_peer_load_t *report)
+apply_unshared_delta(server_t *server, const server_peer_load_t *before,
+                     const server_peer_load_t *report)
 {
     int32_t more =
         (int32_t)(report->unshared_tokens - before->unshared_tokens);
@@ -411,10 +417,12 @@
     }
 }
 
-/* Tokens that a host has given the server to read since its last announcement;
- * for its first one, those that are not read yet. */
+/* Returns the tokens that a host has sent the server for prefill since its
+ * last announcement; if there is none to compare with, or the total decreased,
+ * those that are not prefilled yet. */
 static double
-sent_since(const server_peer_load_t *before, const server_peer_load_t *report)
+sent_tokens_delta(const server_peer_load_t *before,
+                  const server_peer_load_t *report)
 {
     int32_t more = (int32_t)(report->sent_tokens - before->sent_tokens);
     if (before->host != report->host || before->sent_tokens == 0 || more < 0) {
@@ -423,9 +431,10 @@
     return more;
 }
 
-/* The place of a host's announcement, or the oldest one to be replaced. */
+/* Returns the element for a host's announcement: its own, a free one, or the
+ * oldest one, which is replaced. */
 static server_peer_load_t *
-other_place(server_t *server, uint64_t host)
+find_peer_load(server_t *server, uint64_t host)
 {
     server_peer_load_t *oldest = &server->peer_loads[0];
     for (size_t i = 0; i < server->peer_load_count; i++) {
@@ -442,74 +451,77 @@
                : oldest;
 }
 
-/* Applies another host's announcement.  What its requests have brought into
- * the cache since the last one pushes out what was used before. */
+/* Applies another host's announcement.  Tokens that its requests have brought
+ * into the cache since the last one evict older parts. */
 void
 server_apply_peer_load(server_t *server, const server_peer_load_t *report)
 {
-    server_peer_load_t *place = other_place(server, report->host);
-    bool known = place->host == report->host;
-    uint32_t sent = known ? place->sent_tokens : 0;
+    server_peer_load_t *last = find_peer_load(server, report->host);
+    bool known = last->host == report->host;
+    uint32_t sent = known ? last->sent_tokens : 0;
     if (known) {
-        fill_since(server, place, report);
+        apply_unshared_delta(server, last, report);
     }
     if (report->sent_tokens != 0) {
         server->backlog_tokens =
             server_update_backlog(server, report->received_ms) +
-            sent_since(place, report);
+            sent_tokens_delta(last, report);
         sent = report->sent_tokens;
     }
-    *place = *report;
-    place->sent_tokens = sent;
+    *last = *report;
+    last->sent_tokens = sent;
 }
 
 static bool
-is_fresh(const server_peer_load_t *other, int64_t now_ms)
+is_recent(const server_peer_load_t *other, int64_t now_ms)
 {
-    return other->host != 0 && now_ms - other->received_ms < OTHER_FRESH_MS;
+    return other->host != 0 &&
+           now_ms - other->received_ms < PEER_LOAD_VALID_MS;
 }
 
-/* Prompt tokens of other hosts that are not read yet, as far as they have
- * reported. */
+/* Returns the prompt tokens of other hosts that are not prefilled yet, by
+ * their recent announcements. */
 double
 server_sum_peer_prefill(const server_t *server, int64_t now_ms)
 {
-    double unread = 0;
+    double tokens = 0;
     for (size_t i = 0; i < server->peer_load_count; i++) {
         const server_peer_load_t *other = &server->peer_loads[i];
-        if (is_fresh(other, now_ms)) {
-            unread += other->prefill_tokens;
+        if (is_recent(other, now_ms)) {
+            tokens += other->prefill_tokens;
         }
     }
-    return unread;
+    return tokens;
 }
 
-/* Requests of all hosts at it, as far as they have reported. */
+/* Returns the requests of this host at the server and those of other hosts by
+ * their recent announcements. */
 int
 server_count_running(const server_t *server, int64_t now_ms)
 {
     int running = server->own_running;
     for (size_t i = 0; i < server->peer_load_count; i++) {
         const server_peer_load_t *other = &server->peer_loads[i];
-        if (is_fresh(other, now_ms)) {
+        if (is_recent(other, now_ms)) {
             running += other->running;
         }
     }
     return running;
 }
 
-/* A prompt that found nothing ahead of it was read in so much time.  Servers
- * of one service differ in speed, and one that is nearly full slows down. */
+/* Updates the smoothed slowness with the prefill time of a prompt that had
+ * nothing queued ahead of it.  Servers of one service differ in speed, and one
+ * that is nearly full slows down. */
 void
 server_update_slowness(server_t *server, double expected_ms,
                        double observed_ms)
 {
     double ratio = observed_ms / expected_ms;
-    if (ratio < SPEED_RATIO_LEAST) {
-        ratio = SPEED_RATIO_LEAST;
+    if (ratio < SLOWNESS_MIN) {
+        ratio = SLOWNESS_MIN;
     }
-    if (ratio > SPEED_RATIO_MOST) {
-        ratio = SPEED_RATIO_MOST;
+    if (ratio > SLOWNESS_MAX) {
+        ratio = SLOWNESS_MAX;
     }
-    server->slowness += SPEED_WEIGHT * (ratio - server->slowness);
+    server->slowness += SLOWNESS_WEIGHT * (ratio - server->slowness);
 }
--- a/relay/servers.h
+++ b/relay/servers.h
@@ -1,23 +1,22 @@
 #ifndef CELERYSPOOL_SERVERS_H
 #define CELERYSPOOL_SERVERS_H
 
-/* The backend servers that the platform lists, and what this host has seen of
- * them.  No I/O and no clock: times go in. */
+/* The backend servers that the platform lists, and what this host has observed
+ * of them.  No I/O; times are passed in. */
 
 #include "../kernel/base.h"
 #include "cached-parts.h"
 
 #include <ck_queue.h>
 
-/* Numbers that the cache map distinguishes; the last ones are not servers',
- * see cache-source.h. */
-#define SERVERS_MAX 1024
-#define SERVER_NUMBERS_MAX (SERVERS_MAX - 8)
+/* Numbers of holders in the cache map.  The last 8 belong to kv stores, see
+ * cache-source.h. */
+#define HOLDER_NUMBERS_MAX 1024
+#define SERVER_NUMBERS_MAX (HOLDER_NUMBERS_MAX - 8)
 #define SERVER_MODEL_MAX 64
 
-/* Prompt tokens that an engine reads in a millisecond, steps of those that
- * generate included.  Each server's own speed is learned: see
- * server_update_slowness. */
+/* Prefill rate of an engine, including the decode steps in between.  Each
+ * server's deviation from it is measured: see server_update_slowness. */
 #define SERVER_PREFILL_TOKENS_PER_MS 48.0
 
 /* A server's entry on the platform, decoded by platform/server-read.c. */
@@ -29,81 +28,87 @@
     int slots;
     bool draining;
     bool engine;                  /* it serves a model */
-    char model[SERVER_MODEL_MAX]; /* of an engine */
-    int64_t weights;              /* version of its model's weights */
-    int64_t started_ms;           /* wall clock, of its start; 0 unknown */
+    char model[SERVER_MODEL_MAX]; /* engines only */
+    int64_t weights;              /* version of the model's weights */
+    int64_t started_ms;           /* wall-clock start time; 0 if unknown */
 } server_entry_t;
 
-/* Why a send came to nothing, for the circuit. */
+/* Why an attempt failed, for the circuit breaker. */
 typedef enum {
-    SERVER_FAULT_CONNECT, /* no connection in time */
-    SERVER_FAULT_BROKEN,  /* reset, cut or garbled */
-    SERVER_FAULT_ERROR,   /* an error answer of its own */
-    SERVER_FAULT_TIMEOUT  /* no answer in the time that it had */
+    SERVER_FAULT_CONNECT, /* connect failed or timed out */
+    SERVER_FAULT_BROKEN,  /* reset, truncated or malformed answer */
+    SERVER_FAULT_ERROR,   /* the server answered with an error */
+    SERVER_FAULT_TIMEOUT  /* no answer before the timeout */
 } server_fault_t;
 
-/* What another host has at a server, as it last announced. */
 #define SERVER_PEERS_MAX 384
 
+/* A host's load at a server, as last announced by that host. */
 typedef struct {
-    uint64_t host; /* hash of its address; 0 for none */
+    uint64_t host; /* hash of the host's address; 0 for none */
     int64_t received_ms;
-    double prefill_tokens;
+    double prefill_tokens; /* not prefilled yet */
     int running;
-    uint32_t unshared_tokens; /* tokens of requests' own parts, of all time,
-                                 wraps */
-    uint32_t
-        sent_tokens; /* tokens to read, of all time, wraps; 0: not reported */
+    /* Total of tokens that no other request shares, modulo 2^32. */
+    uint32_t unshared_tokens;
+    /* Total of tokens sent for prefill, modulo 2^32; 0 if not reported. */
+    uint32_t sent_tokens;
 } server_peer_load_t;
 
 typedef struct server {
     CK_LIST_ENTRY(server) entry;
     server_entry_t info;
-    int64_t revision;         /* of its entry */
-    bool ordered;             /* this host is bringing it to other weights */
-    int64_t order_after_ms;   /* not ordered again before */
-    int64_t loading_until_ms; /* it is reported to load weights until then */
-    uint32_t key;             /* hash of its id, for other hosts */
-    uint16_t number; /* in the cache map; used again when it is gone */
-    int64_t
-        missing_since_ms; /* since when its entry is gone, 0 if it is there */
-    bool removed;         /* off the list for good; kept while it is used */
-    bool address_taken;   /* another server answers at its address */
-    unsigned list_generation;  /* count of the list that it was last on */
-    int own_running;           /* requests of this host at it */
-    double own_prefill_tokens; /* their prompt tokens that are not read yet */
-    double announced_prefill_tokens; /* as other hosts were last notified */
-    int announced_running;
-    int64_t announced_ms;
-    uint32_t announced_sent_tokens;
-    uint32_t sent_tokens; /* tokens given to it to read, of all time, wraps */
-    double
-        backlog_tokens; /* tokens of all hosts, read at a part of its speed */
-    int64_t backlog_updated_ms; /* when that was */
-    cached_parts_t *held;       /* what its cache is believed to hold */
-    uint32_t unshared_tokens;   /* tokens of own requests' own parts, of all
-                                   time, wraps */
-    uint32_t announced_unshared_tokens; /* the same, as last notified */
+    int64_t revision;       /* of the platform's entry */
+    bool ordered;           /* this host is changing the server's weights */
+    int64_t order_after_ms; /* no new order before this time */
+    /* No new requests before this time: the server loads weights. */
+    int64_t loading_until_ms;
+    uint32_t key;    /* hash of the id, sent to other hosts */
+    uint16_t number; /* in the cache map; reused after removal */
+    /* When the entry disappeared from the platform; 0 if it is listed. */
+    int64_t missing_since_ms;
+    bool removed;       /* no longer listed; freed when no request uses it */
+    bool address_taken; /* another server answers at this address */
+    unsigned list_generation;  /* of the last list that had this server */
+    int own_running;           /* requests of this host at the server */
+    double own_prefill_tokens; /* of this host, not prefilled yet */
+    double announced_prefill_tokens; /* own_prefill_tokens last announced */
+    int announced_running;           /* own_running last announced */
+    int64_t announced_ms;            /* time of the last announcement */
+    uint32_t announced_sent_tokens;  /* sent_tokens last announced */
+    /* Total of tokens sent for prefill by this host, modulo 2^32. */
+    uint32_t sent_tokens;
+    /* Tokens of all hosts, prefilled at a share of the server's speed; see
+     * server_update_backlog. */
+    double backlog_tokens;
+    int64_t backlog_updated_ms;
+    cached_parts_t *held; /* estimated contents of the prefix cache */
+    /* Total of tokens of this host's requests that no other request shares,
+     * modulo 2^32. */
+    uint32_t unshared_tokens;
+    uint32_t announced_unshared_tokens; /* unshared_tokens last announced */
     server_peer_load_t peer_loads[SERVER_PEERS_MAX];
-    size_t peer_load_count; /* places in use */
-    int reported_running;   /* by its own report */
-    int reported_waiting;
-    int64_t reported_ms;       /* when it reported that, 0 for never */
-    int64_t load_announced_ms; /* when others were last notified of its load */
-    double slot_time_ms; /* that a request takes a slot from its first token
-                          * on, smoothed; 0 unknown */
-    unsigned consecutive_faults;   /* in a row */
-    int64_t circuit_open_until_ms; /* the circuit is open until then */
-    int64_t full_until_ms;         /* it refused a request: not before then */
-    double error_share;            /* of its answers lately that were errors */
-    double slowness;               /* observed over expected time, smoothed */
-    int64_t probed_ms;             /* when its report was last asked for */
-    int64_t answered_ms;           /* when anything last came from it */
-    int64_t confirmed_alive_ms;    /* the same, to this host or another that
-                                      reported it */
-    int64_t busy_since_ms; /* since when requests of this host are at it */
-    bool probing;          /* it is being asked whether it is there */
-    bool unresponsive;     /* it was asked and did not answer */
+    size_t peer_load_count; /* used elements of peer_loads */
+    int reported_running;   /* from the server's own load report */
+    int reported_waiting;   /* from the server's own load report */
+    int64_t reported_ms;    /* time of the last load report; 0 for never */
+    /* When peers were last notified of the server's load report. */
+    int64_t load_announced_ms;
+    /* Smoothed time that a request occupies a slot, from its first token on;
+     * 0 if unknown. */
+    double slot_time_ms;
+    unsigned consecutive_faults;
+    int64_t circuit_open_until_ms;
+    int64_t full_until_ms; /* counts as full after a refusal until then */
+    double error_share;    /* smoothed share of error answers */
+    double slowness;       /* smoothed ratio of observed to expected time */
+    int64_t probed_ms;     /* time of the last probe */
+    int64_t answered_ms;   /* when data last arrived from the server */
+    /* When the server last answered this host or a host that reported it. */
+    int64_t confirmed_alive_ms;
+    int64_t busy_since_ms; /* when own_running last rose from 0 */
+    bool probing;          /* a probe is in flight */
+    bool unresponsive;     /* the last probe got no answer */
 } server_t;
 
 typedef CK_LIST_HEAD(server_list, server) server_list_t;
@@ -111,7 +116,7 @@
 typedef struct {
     server_list_t list;
     size_t count;
-    unsigned list_generation; /* how many whole lists were read */
+    unsigned list_generation;               /* number of complete lists read */
     server_t *numbered[SERVER_NUMBERS_MAX]; /* NULL for a free number */
 } servers_t;
 
@@ -123,7 +128,7 @@
 server_t *servers_put(servers_t *servers, const server_entry_t *entry);
 void servers_remove(servers_t *servers, server_t *server);
 void servers_sweep(servers_t *servers);
-void server_add_request(server_t *server, double unread_tokens,
+void server_add_request(server_t *server, double prefill_tokens,
                         int64_t now_ms);
 void server_subtract_prefill(server_t *server, double tokens);
 void server_remove_request(server_t *server);
