--- a/relay/cache-events.c
+++ b/relay/cache-events.c
@@ -2,32 +2,32 @@
 
 #include <string.h>
 
-/* The load that this answers: most parts that a cache takes in belong to one
- * request and are asked for by no other.  Announced to all daemons they would
- * cost more than all other messages between them. */
+/* Most parts that a cache stores belong to one request and are requested by no
+ * other.  Announcing them to all daemons would cost more than all other
+ * messages between daemons. */
 
-/* Notifies the other daemons of a change that they do not know.  A part that
- * no request is known to ask for is only kept track of. */
+/* Applies an event and notifies peers of a change that they do not know.  A
+ * part that no request is known to have is only remembered as unrequested. */
 void
-cache_event_apply(relay_t *relay, cached_parts_t *unasked, const char *holder,
-                  const cache_event_t *event)
+cache_event_apply(relay_t *relay, cached_parts_t *unrequested,
+                  const char *holder, const cache_event_t *event)
 {
     uint64_t key = prompt_part_key(
         prompt_part_hash(event->id, strlen(event->id)), event->salt);
     const cached_part_t part = {
         .key = key, .prompt_tokens = event->tokens, .tokens = event->tokens};
-    bool there = event->grew && event->tokens > 0;
+    bool present = event->grew && event->tokens > 0;
     relay->meter.cache_events++;
     if (!cache_map_knows(relay->cache, key)) {
-        if (there) {
-            cached_parts_use(unasked, &part);
+        if (present) {
+            cached_parts_use(unrequested, &part);
         }
         else {
-            cached_parts_remove(unasked, key);
+            cached_parts_remove(unrequested, key);
         }
         return;
     }
-    if (there) {
+    if (present) {
         cache_appeared(relay, holder, &part);
     }
     else if (!event->grew && cache_evicted(relay, holder, key)) {
@@ -36,16 +36,16 @@
     }
 }
 
-/* A request here or at another daemon asks for a part: the others are notified
- * if the cache holds it. */
+/* Records that a request here or at another daemon has a part; peers are
+ * notified if the cache holds it. */
 void
-cache_event_note_request(relay_t *relay, cached_parts_t *unasked,
+cache_event_note_request(relay_t *relay, cached_parts_t *unrequested,
                          const char *holder, uint64_t key)
 {
-    const cached_part_t *known = cached_parts_get(unasked, key);
+    const cached_part_t *known = cached_parts_get(unrequested, key);
     if (known != NULL) {
         const cached_part_t part = *known;
-        cached_parts_remove(unasked, key);
+        cached_parts_remove(unrequested, key);
         cache_appeared(relay, holder, &part);
     }
 }
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -4,54 +4,53 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Follows what engines' caches and the kv stores hold, by their own lists
- * and events.  Each cache is followed by one daemon, which notifies the others
- * of what differs from its own estimate.
+/* Follows the contents of engines' caches and kv stores through their own
+ * lists and events.  Each cache is followed by one daemon, which notifies its
+ * peers of differences from the estimate.
  *
- * The load that this answers: an engine's memory turns over within seconds, so
- * an estimate from requests alone is soon wrong, and parts that are held
- * elsewhere would be read again.  After a loss of all daemons the lists
- * restore what the engines, which ran on, hold. */
+ * An engine's cache turns over within seconds, so an estimate from requests
+ * alone is soon wrong, and parts that are held elsewhere would be prefilled
+ * again.  After all daemons were lost, the lists restore the contents of the
+ * caches of engines that kept running. */
 
-/* A daemon that has just started knows few others, and would follow what falls
- * to them: after a loss of all daemons each would have every engine list its
- * cache, which stalls the engine.  It waits until the others are known, ms. */
-#define KNOWN_MS 2000
-/* How often each daemon works out which caches fall to it, ms. */
-#define SHARE_MS 1000
-/* Pause behind an answer, ms: the next one brings all events of that time. */
-#define GATHER_MS 250
-/* Longest wait for events, ms, and for an answer beyond that. */
+/* Delay before a new daemon follows caches.  While it knows few peers, caches
+ * that belong to others are assigned to it: when all daemons restart, each
+ * would have every engine list its cache, which stalls the engine. */
+#define START_DELAY_MS 2000
+/* Interval at which a daemon recomputes which caches are assigned to it. */
+#define ASSIGN_INTERVAL_MS 1000
+/* Pause after an answer, so that the next one has all events of that time. */
+#define POLL_PAUSE_MS 250
+/* How long a cache may wait for events, and the margin for its answer. */
 #define EVENTS_WAIT_MS 800
-#define SLACK_MS 400
-#define LIST_MS 1500
-#define CONNECT_MS 250
-/* Behind a failed call, ms. */
-#define AGAIN_MS 1000
-/* Parts of one cache that are kept track of before any request asks for them,
- * tokens. */
-#define UNASKED_TOKENS (64 << 20)
+#define EVENTS_MARGIN_MS 400
+#define LIST_TIMEOUT_MS 1500
+#define CONNECT_TIMEOUT_MS 250
+/* Pause after a failed call. */
+#define RETRY_MS 1000
+/* Tokens of one cache's parts that are remembered before any request has
+ * them. */
+#define UNREQUESTED_TOKENS_MAX (64 << 20)
 
 typedef struct follow {
     CK_LIST_ENTRY(follow) entry;
     cache_follows_t *follows;
     char holder[CS_NAME_MAX]; /* a server's id or a kv store's name */
     char addr[CS_ADDR_MAX];
-    cached_parts_t
-        *unasked; /* held, and no request is known to ask for them */
-    bool listed;  /* place is known */
+    cached_parts_t *unrequested; /* held parts that no known request has */
+    bool listed;                 /* place is valid */
     cache_place_t place;
-    int64_t next_ms;
-    fetch_t *fetch;
-    bool lost;     /* the last call brought nothing */
-    unsigned seen; /* count of the sharing that it was last in */
+    int64_t next_ms; /* time of the next call */
+    fetch_t *fetch;  /* NULL if no call is in flight */
+    bool lost;       /* the last call failed */
+    unsigned round;  /* of the assignment that last had this cache */
 } follow_t;
 
 struct cache_follows {
     relay_t *relay;
     CK_LIST_HEAD(follow_list, follow) list;
-    unsigned shares;
-    int64_t share_ms;
+    unsigned round;         /* number of assignments so far */
+    int64_t next_assign_ms; /* time of the next assignment */
 };
 
 static void
@@ -61,7 +60,7 @@
         fetch_cancel(follow->fetch);
     }
     CK_LIST_REMOVE(follow, entry);
-    cached_parts_free(follow->unasked);
+    cached_parts_free(follow->unrequested);
     free(follow);
 }
 
@@ -69,11 +68,11 @@
 on_event(void *arg, const cache_event_t *event)
 {
     const follow_t *follow = arg;
-    cache_event_apply(follow->follows->relay, follow->unasked, follow->holder,
-                      event);
+    cache_event_apply(follow->follows->relay, follow->unrequested,
+                      follow->holder, event);
 }
 
-/* A request here or at another daemon asks for a part. */
+/* Records that a request here or at another daemon has a part. */
 void
 cache_follows_asked(cache_follows_t *follows, uint64_t key)
 {
@@ -82,19 +81,19 @@
         return;
     }
     CK_LIST_FOREACH (follow, &follows->list, entry) {
-        cache_event_note_request(follows->relay, follow->unasked,
+        cache_event_note_request(follows->relay, follow->unrequested,
                                  follow->holder, key);
     }
 }
 
 static bool
-take_answer(follow_t *follow, const fetch_result_t *result)
+apply_answer(follow_t *follow, const fetch_result_t *result)
 {
     err_t err = {0};
     cache_place_t place = {0};
     bool listing = !follow->listed;
     if (listing) {
-        cached_parts_clear(follow->unasked);
+        cached_parts_clear(follow->unrequested);
     }
     if (!result->whole || result->status != 200) {
         return false;
@@ -105,8 +104,8 @@
                 : platform_cache_events_read(&place, result->text, result->len,
                                              on_event, follow, &err);
     if (status != 0) {
-        log_warn("cache", "The answer of %s cannot be read: %s.",
-                 follow->holder, err.text);
+        log_warn("cache", "Invalid cache answer from %s: %s.", follow->holder,
+                 err.text);
         return false;
     }
     if (listing) {
@@ -125,39 +124,39 @@
 {
     follow_t *follow = arg;
     int64_t now = time_mono_ms();
-    bool good = take_answer(follow, result);
+    bool valid = apply_answer(follow, result);
     follow->fetch = NULL;
-    if (follow->lost == good) {
-        log_record(good ? LOG_INFO : LOG_WARN, "cache",
-                   good ? "followed-again" : "lost",
+    if (follow->lost == valid) {
+        log_record(valid ? LOG_INFO : LOG_WARN, "cache",
+                   valid ? "followed-again" : "lost",
                    "holder=%s addr=%s status=%d", follow->holder, follow->addr,
                    result->status);
     }
-    follow->lost = !good;
-    follow->next_ms = !good            ? now + AGAIN_MS
-                      : follow->listed ? now + GATHER_MS
+    follow->lost = !valid;
+    follow->next_ms = !valid           ? now + RETRY_MS
+                      : follow->listed ? now + POLL_PAUSE_MS
                                        : now;
 }
 
 static void
-follow_call(follow_t *follow)
+start_call(follow_t *follow)
 {
     CLEAN_BUF buf_t head = {0};
-    fetch_ask_t ask = {.addr = follow->addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = LIST_MS,
-                       .on_done = on_done,
-                       .arg = follow};
+    fetch_ask_t params = {.addr = follow->addr,
+                          .call = &head,
+                          .connect_ms = CONNECT_TIMEOUT_MS,
+                          .total_ms = LIST_TIMEOUT_MS,
+                          .on_done = on_done,
+                          .arg = follow};
     if (follow->listed) {
         platform_cache_events_call(&head, follow->addr, follow->place.next,
                                    EVENTS_WAIT_MS);
-        ask.total_ms = EVENTS_WAIT_MS + SLACK_MS;
+        params.total_ms = EVENTS_WAIT_MS + EVENTS_MARGIN_MS;
     }
     else {
         platform_cache_list_call(&head, follow->addr);
     }
-    follow->fetch = fetch_start(follow->follows->relay->exchanges, &ask);
+    follow->fetch = fetch_start(follow->follows->relay->exchanges, &params);
 }
 
 static follow_t *
@@ -172,9 +171,9 @@
     return NULL;
 }
 
-/* Follow a holder if that falls to this daemon. */
+/* Follows a holder if it is assigned to this daemon. */
 static void
-share_holder(cache_follows_t *follows, const char *holder, const char *addr)
+assign_holder(cache_follows_t *follows, const char *holder, const char *addr)
 {
     if (!peers_duty(follows->relay->peers, holder)) {
         return;
@@ -183,8 +182,8 @@
     if (follow == NULL) {
         follow = mem_zalloc(sizeof(*follow));
         follow->follows = follows;
-        follow->unasked = cached_parts_new();
-        cached_parts_set_capacity(follow->unasked, UNASKED_TOKENS);
+        follow->unrequested = cached_parts_new();
+        cached_parts_set_capacity(follow->unrequested, UNREQUESTED_TOKENS_MAX);
         str_copy(follow->holder, sizeof(follow->holder), holder);
         CK_LIST_INSERT_HEAD(&follows->list, follow, entry);
     }
@@ -192,30 +191,31 @@
         str_copy(follow->addr, sizeof(follow->addr), addr);
         follow->listed = false;
     }
-    follow->seen = follows->shares;
+    follow->round = follows->round;
 }
 
+/* Recomputes which caches this daemon follows. */
 static void
-share_all(cache_follows_t *follows)
+assign_all(cache_follows_t *follows)
 {
     const relay_t *relay = follows->relay;
     const server_t *server;
     const relay_service_t *service;
     follow_t *follow;
     follow_t *next;
-    follows->shares++;
+    follows->round++;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         if (server->info.engine && !server->removed) {
-            share_holder(follows, server->info.id, server->info.addr);
+            assign_holder(follows, server->info.id, server->info.addr);
         }
     }
     CK_SLIST_FOREACH (service, &relay->config->services, entry) {
         if (service->kv_store) {
-            share_holder(follows, service->name, service->addr);
+            assign_holder(follows, service->name, service->addr);
         }
     }
     CK_LIST_FOREACH_SAFE (follow, &follows->list, entry, next) {
-        if (follow->seen != follows->shares) {
+        if (follow->round != follows->round) {
             follow_free(follow);
         }
     }
@@ -226,12 +226,12 @@
 {
     cache_follows_t *follows = mem_zalloc(sizeof(*follows));
     follows->relay = relay;
-    follows->share_ms = time_mono_ms() + KNOWN_MS;
+    follows->next_assign_ms = time_mono_ms() + START_DELAY_MS;
     CK_LIST_INIT(&follows->list);
     return follows;
 }
 
-/* Caches that this daemon follows. */
+/* Returns the number of caches that this daemon follows. */
 size_t
 cache_follows_count(const cache_follows_t *follows)
 {
@@ -243,7 +243,7 @@
     return count;
 }
 
-/* One step. */
+/* Reassigns caches when that is due and starts the calls that are due. */
 void
 cache_follows_tick(cache_follows_t *follows)
 {
@@ -252,13 +252,13 @@
     if (!follows->relay->servers_listed || follows->relay->config == NULL) {
         return;
     }
-    if (now >= follows->share_ms) {
-        follows->share_ms = now + SHARE_MS;
-        share_all(follows);
+    if (now >= follows->next_assign_ms) {
+        follows->next_assign_ms = now + ASSIGN_INTERVAL_MS;
+        assign_all(follows);
     }
     CK_LIST_FOREACH (follow, &follows->list, entry) {
         if (follow->fetch == NULL && now >= follow->next_ms) {
-            follow_call(follow);
+            start_call(follow);
         }
     }
 }
--- a/relay/cache-save.c
+++ b/relay/cache-save.c
@@ -1,65 +1,66 @@
 #include "cache-save.h"
 
-/* The load that this answers: in a large fleet, prompts come many times faster
- * than the link of a kv store takes them in.  A server sends all of a
- * prompt, the part that no other request asks for too, and gives up a transfer
- * that would wait long.  Were all prompts saved, most transfers would be given
- * up, the store would lack what daemons believe that it holds, and fetches
- * from it would wait behind transfers of no use. */
+/* In a large fleet prompts arrive many times faster than the link of a kv
+ * store can transfer them.  A server sends all of a prompt, including its
+ * unshared part, and gives up a transfer that would wait long.  If all prompts
+ * were saved, most transfers would be given up, the store would lack parts
+ * that daemons count on, and fetches from it would wait behind useless
+ * transfers. */
 
-/* Part of the link that saves may take; the rest is for fetches. */
-#define LINK_PART 0.5
-/* A transfer between data centres takes so many times longer. */
-#define OTHER_DC_COST 2.0
-/* Credit that is kept at most: of so many ms, and no less than a long prompt.
+/* Share of the link that saves may use; the rest is for fetches. */
+#define LINK_SHARE 0.5
+/* A transfer between data centres takes this many times longer. */
+#define OTHER_DC_RATIO 2.0
+/* Maximum credit: what accrues in this time, but no less than a long prompt.
  */
 #define CREDIT_MS 4000
-#define CREDIT_LEAST_TOKENS 20000.0
+#define CREDIT_TOKENS_MIN 20000.0
 
 static double
 credit_max(double rate)
 {
-    double most = rate * CREDIT_MS;
-    return most > CREDIT_LEAST_TOKENS ? most : CREDIT_LEAST_TOKENS;
+    double max = rate * CREDIT_MS;
+    return max > CREDIT_TOKENS_MIN ? max : CREDIT_TOKENS_MIN;
 }
 
 static void
-fill(save_bucket_t *share, double rate, int64_t now_ms)
+refill(save_bucket_t *bucket, double rate, int64_t now_ms)
 {
-    double most = credit_max(rate);
-    if (share->refilled_ms == 0) {
-        share->credit_tokens = most;
+    double max = credit_max(rate);
+    if (bucket->refilled_ms == 0) {
+        bucket->credit_tokens = max;
     }
     else {
-        share->credit_tokens += rate * (double)(now_ms - share->refilled_ms);
+        bucket->credit_tokens += rate * (double)(now_ms - bucket->refilled_ms);
     }
-    share->credit_tokens =
-        share->credit_tokens > most ? most : share->credit_tokens;
-    share->refilled_ms = now_ms;
+    bucket->credit_tokens =
+        bucket->credit_tokens > max ? max : bucket->credit_tokens;
+    bucket->refilled_ms = now_ms;
 }
 
-/* Whether the store is to take a prompt; if so, its transfer is counted.  The
- * less credit is left, the larger the part of the transfer must be that other
+/* Returns whether to save a prompt; if so, its transfer is charged.  The less
+ * credit is left, the larger the share of the transfer must be that other
  * requests can use. */
 bool
-cache_save_allowed(save_bucket_t *share, const save_params_t *ask,
+cache_save_allowed(save_bucket_t *bucket, const save_params_t *params,
                    int64_t now_ms)
 {
-    size_t hosts = ask->hosts > 0 ? ask->hosts : 1;
-    double rate = ask->link_tokens_per_ms * LINK_PART / (double)hosts;
-    double sent = (double)ask->shared_tokens + (double)ask->unshared_tokens;
-    if (ask->shared_tokens == 0) {
+    size_t hosts = params->hosts > 0 ? params->hosts : 1;
+    double rate = params->link_tokens_per_ms * LINK_SHARE / (double)hosts;
+    double sent =
+        (double)params->shared_tokens + (double)params->unshared_tokens;
+    if (params->shared_tokens == 0) {
         return false;
     }
-    if (ask->link_tokens_per_ms <= 0) {
+    if (params->link_tokens_per_ms <= 0) {
         return true; /* not configured */
     }
-    fill(share, rate, now_ms);
-    if (share->credit_tokens <= 0 ||
-        ask->shared_tokens / sent <
-            1 - share->credit_tokens / credit_max(rate)) {
+    refill(bucket, rate, now_ms);
+    if (bucket->credit_tokens <= 0 ||
+        params->shared_tokens / sent <
+            1 - bucket->credit_tokens / credit_max(rate)) {
         return false;
     }
-    share->credit_tokens -= ask->same_dc ? sent : sent * OTHER_DC_COST;
+    bucket->credit_tokens -= params->same_dc ? sent : sent * OTHER_DC_RATIO;
     return true;
 }
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -3,18 +3,18 @@
 
 #include <string.h>
 
-/* Part of an engine's memory that holds parts of prompts. */
-#define ROOM_PART 0.95
-/* Time to ask for a fetch and to start it, ms. */
+/* Share of an engine's configured memory that holds cached parts. */
+#define CAPACITY_SHARE 0.95
+/* Time to request and start a fetch. */
 #define FETCH_START_MS 8.0
-/* A link between data centres takes so much longer. */
-#define FETCH_OTHER_DC 2.0
-/* Where the configuration has no sizes or links, ms a token. */
-#define FETCH_UNKNOWN_MS 0.01
+/* A transfer between data centres takes this many times longer. */
+#define FETCH_OTHER_DC_RATIO 2.0
+/* Transfer time of a token if the configuration lacks sizes or links. */
+#define FETCH_DEFAULT_MS_PER_TOKEN 0.01
 #define BITS_PER_BYTE 8.0
 #define SOURCES_MAX 8
-/* A prompt that was sent is read within this time, ms, or its server is in
- * trouble. */
+/* A prompt that was not prefilled within this time after it was sent is no
+ * longer counted as pending: its server is overloaded or failing. */
 #define PENDING_MS 1500
 
 static const relay_service_t *
@@ -25,14 +25,15 @@
                : NULL;
 }
 
-/* Levels that others can have too: all but the request's own part. */
+/* Returns the number of levels that other prompts can share: all but the last.
+ */
 static unsigned
 shared_levels(const prefix_t *prefix)
 {
     return prefix->count > 1 ? prefix->count - 1 : 0;
 }
 
-/* The service of the store with a number, or NULL. */
+/* Returns the service of the kv store with a number, or NULL. */
 static const relay_service_t *
 store_service(const relay_t *relay, uint16_t number)
 {
@@ -42,41 +43,44 @@
                : NULL;
 }
 
-/* The store that keeps what a prompt shares, and its number; NULL if there is
- * no store or nothing is shared. */
+/* Returns the service of the kv store for a prompt's shared parts and sets its
+ * number; NULL if there is no store or no shared part. */
 const relay_service_t *
 cache_find_store(const relay_t *relay, const prefix_t *prefix,
                  uint16_t *number)
 {
     unsigned shared = shared_levels(prefix);
-    int at = shared > 0 ? kv_stores_choose(&relay->stores,
-                                           prefix->levels[shared - 1].key)
-                        : -1;
-    if (at < 0) {
+    int store = shared > 0 ? kv_stores_choose(&relay->stores,
+                                              prefix->levels[shared - 1].key)
+                           : -1;
+    if (store < 0) {
         return NULL;
     }
-    *number = (uint16_t)(KV_STORE_NUMBER_MIN + at);
+    *number = (uint16_t)(KV_STORE_NUMBER_MIN + store);
     return store_service(relay, *number);
 }
 
-/* Time that one token takes from a store or a server of a service to a server
- * of another, by what the configuration says of their links. */
+/* Returns the transfer time of one token from a store or server of a service
+ * to a server of another, over the slower of their configured links. */
 static double
-token_ms(const relay_service_t *from, const relay_service_t *to, bool same_dc)
+link_ms_per_token(const relay_service_t *from, const relay_service_t *to,
+                  bool same_dc)
 {
     if (from == NULL || to == NULL || to->token_bytes <= 0 ||
         from->link_bits_per_ms <= 0 || to->link_bits_per_ms <= 0) {
-        return FETCH_UNKNOWN_MS;
+        return FETCH_DEFAULT_MS_PER_TOKEN;
     }
     double link = from->link_bits_per_ms < to->link_bits_per_ms
                       ? from->link_bits_per_ms
                       : to->link_bits_per_ms;
     double ms = (double)to->token_bytes * BITS_PER_BYTE / link;
-    return same_dc ? ms : ms * FETCH_OTHER_DC;
+    return same_dc ? ms : ms * FETCH_OTHER_DC_RATIO;
 }
 
+/* Describes a holder as a source for a server; false if the server cannot
+ * fetch from it. */
 static bool
-take_source(const relay_t *relay, const server_t *to, uint16_t number,
+fill_source(const relay_t *relay, const server_t *to, uint16_t number,
             cache_source_t *out)
 {
     if (number >= KV_STORE_NUMBER_MIN) {
@@ -90,8 +94,8 @@
         return true;
     }
     const server_t *from = servers_find_by_number(relay->servers, number);
-    /* Parts under the name of other weights may have been made after a load,
-     * by a run that went on beside it. */
+    /* A request that continued through a weights load may have stored parts
+     * of the new weights under the salt of the old ones. */
     if (from == NULL || from == to || from->info.weights != to->info.weights ||
         !server_is_fetch_source(from, time_mono_ms())) {
         return false;
@@ -102,8 +106,9 @@
     return true;
 }
 
-/* A server's copy is nearer than the store's, one of the same data centre
- * nearer than another's; among equals the one noted last is the surest. */
+/* Returns whether source a, listed after b, is preferred to it: a server to a
+ * kv store, then the same data centre to another one.  Between equals a wins:
+ * it was usually noted later, so its copy is the less likely to be evicted. */
 static bool
 is_better(const cache_source_t *a, const cache_source_t *b)
 {
@@ -113,10 +118,10 @@
     return a->same_dc || !b->same_dc;
 }
 
-/* What a server, or a kv store, is believed to hold; NULL for a
+/* Returns the estimated cache contents of a server or kv store; NULL for an
  * unused number. */
 static cached_parts_t *
-held_by(const relay_t *relay, uint16_t number)
+holder_parts(const relay_t *relay, uint16_t number)
 {
     if (number >= KV_STORE_NUMBER_MIN) {
         return relay->stores.all[number - KV_STORE_NUMBER_MIN].held;
@@ -125,25 +130,25 @@
     return server != NULL ? server->held : NULL;
 }
 
-/* How many levels of a prompt are held without a gap, counted from one of
- * them on: behind a part that is missing the rest is of no use. */
+/* Returns the first level from a given one on that is not held, or the end:
+ * parts after a missing one cannot be used. */
 static unsigned
-levels_held(const cached_parts_t *held, const prefix_t *prefix, unsigned from,
-            unsigned to)
+levels_held_until(const cached_parts_t *held, const prefix_t *prefix,
+                  unsigned from, unsigned to)
 {
-    unsigned at = from;
-    while (at < to && cached_parts_has(held, prefix->levels[at].key)) {
-        at++;
+    unsigned level = from;
+    while (level < to && cached_parts_has(held, prefix->levels[level].key)) {
+        level++;
     }
-    return at;
+    return level;
 }
 
 static bool
-holds(const relay_t *relay, uint16_t number, const prefix_t *prefix,
-      unsigned from, unsigned to)
+holder_has_levels(const relay_t *relay, uint16_t number,
+                  const prefix_t *prefix, unsigned from, unsigned to)
 {
-    const cached_parts_t *held = held_by(relay, number);
-    return held != NULL && levels_held(held, prefix, from, to) == to;
+    const cached_parts_t *held = holder_parts(relay, number);
+    return held != NULL && levels_held_until(held, prefix, from, to) == to;
 }
 
 static const relay_service_t *
@@ -156,8 +161,8 @@
     return server != NULL ? service_of(relay, server) : NULL;
 }
 
-/* The nearest holder of the levels of a prompt between those that a server
- * holds itself and a last one. */
+/* Finds the best source that holds the levels of a prompt between those that a
+ * server holds itself and a last one. */
 static bool
 find_source(relay_t *relay, const prefix_t *prefix, unsigned from,
             unsigned last, const server_t *to, cache_source_t *out)
@@ -170,8 +175,8 @@
         cache_map_holders(relay->cache, level->key, 0, numbers, SOURCES_MAX);
     for (size_t i = 0; i < count; i++) {
         cache_source_t source = {.tokens = level->tokens};
-        if (holds(relay, numbers[i], prefix, from, last) &&
-            take_source(relay, to, numbers[i], &source) &&
+        if (holder_has_levels(relay, numbers[i], prefix, from, last) &&
+            fill_source(relay, to, numbers[i], &source) &&
             (!found || is_better(&source, out))) {
             *out = source;
             best = numbers[i];
@@ -179,56 +184,59 @@
         }
     }
     if (found) {
-        out->ms_per_token = token_ms(holder_service(relay, best),
-                                     service_of(relay, to), out->same_dc);
+        out->ms_per_token = link_ms_per_token(
+            holder_service(relay, best), service_of(relay, to), out->same_dc);
     }
     return found;
 }
 
-/* A part that a server is still reading has a key of its own: the next request
- * there finds it read, but it cannot be fetched yet. */
+/* Returns the key of a part that a server is still prefilling.  It differs
+ * from the part's own key: the next request at the server can use the part,
+ * but other servers cannot fetch it yet. */
 static uint64_t
 pending_key(uint64_t key)
 {
     return ~key;
 }
 
-/* Tokens of a prompt that a server is reading now for another request. */
+/* Returns the tokens of a prompt that a server is prefilling for another
+ * request. */
 static uint32_t
 pending_tokens(relay_t *relay, const prefix_t *prefix, const server_t *server,
                int64_t now)
 {
-    prefix_t coming = {.count = shared_levels(prefix)};
-    for (unsigned i = 0; i < coming.count; i++) {
-        coming.levels[i] = prefix->levels[i];
-        coming.levels[i].key = pending_key(prefix->levels[i].key);
+    prefix_t pending = {.count = shared_levels(prefix)};
+    for (unsigned i = 0; i < pending.count; i++) {
+        pending.levels[i] = prefix->levels[i];
+        pending.levels[i].key = pending_key(prefix->levels[i].key);
     }
-    return cache_map_cached_since(relay->cache, &coming, server->number,
+    return cache_map_cached_since(relay->cache, &pending, server->number,
                                   now - PENDING_MS);
 }
 
-/* Whether a server is believed to hold all that a prompt shares. */
+/* Returns whether a server holds all shared parts of a prompt, as far as is
+ * known. */
 bool
 cache_holds_shared(const prefix_t *prefix, const server_t *server)
 {
     unsigned shared = shared_levels(prefix);
     return shared > 0 &&
-           levels_held(server->held, prefix, 0, shared) == shared;
+           levels_held_until(server->held, prefix, 0, shared) == shared;
 }
 
-/* What a server holds of a prompt, and where it could fetch more. */
+/* Looks up what a server holds of a prompt and where it can fetch more. */
 void
 cache_lookup(relay_t *relay, const prefix_t *prefix, const server_t *server,
              cache_view_t *out)
 {
     int64_t now = time_mono_ms();
     unsigned shared = shared_levels(prefix);
-    unsigned held = levels_held(server->held, prefix, 0, shared);
+    unsigned held = levels_held_until(server->held, prefix, 0, shared);
     memset(out, 0, sizeof(*out));
     out->shared_tokens = shared > 0 ? prefix->levels[shared - 1].tokens : 0;
     out->held_tokens = held > 0 ? prefix->levels[held - 1].tokens : 0;
-    uint32_t coming = pending_tokens(relay, prefix, server, now);
-    out->held_tokens = coming > out->held_tokens ? coming : out->held_tokens;
+    uint32_t pending = pending_tokens(relay, prefix, server, now);
+    out->held_tokens = pending > out->held_tokens ? pending : out->held_tokens;
     for (unsigned i = shared; i > held && !out->found; i--) {
         if (prefix->levels[i - 1].tokens <= out->held_tokens) {
             return;
@@ -237,7 +245,8 @@
     }
 }
 
-/* Time that the fetch of what a server lacks takes, ms. */
+/* Returns the estimated time to fetch what a server lacks, 0 without a source.
+ */
 double
 cache_fetch_ms(const cache_view_t *view)
 {
@@ -249,11 +258,11 @@
     return FETCH_START_MS + ms;
 }
 
-/* The address at which a server should fetch what it lacks of a prompt, or
- * NULL.  Fetching is quicker than reading.  Where no holder of more is
- * known, the kv store (NULL if there is none) is named all the same:
- * a miss costs a millisecond, another host may have had the part kept, and a
- * server that has dropped what it was believed to hold would read it again. */
+/* Returns the address from which a server should fetch what it lacks of a
+ * prompt, or NULL.  Fetching is faster than prefill.  If no holder of more is
+ * known, the address is the kv store's (NULL if there is none): a miss costs a
+ * millisecond, another host may have had the part saved, and a server that has
+ * evicted parts contrary to the estimate would prefill them again. */
 const char *
 cache_fetch_address(const cache_view_t *view, const relay_service_t *store)
 {
@@ -263,7 +272,7 @@
     return store != NULL && view->shared_tokens > 0 ? store->addr : NULL;
 }
 
-/* The name by which other daemons know a holder. */
+/* Returns the name of a holder that other daemons know it by. */
 static const char *
 holder_name(const relay_t *relay, uint16_t number)
 {
@@ -283,14 +292,14 @@
                            .tokens = prefix->levels[level].tokens - before};
 }
 
-/* A server, or a kv store, has used or taken in the parts of a
- * prompt.  Peers are notified of shared parts.  The first part is evicted
- * last, so it is noted last. */
+/* Records that a server or kv store has used or stored the shared parts of a
+ * prompt, and notifies peers of those that were not known to be there.  The
+ * first part is evicted last, so it is recorded last. */
 void
 cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number)
 {
     int64_t now = time_mono_ms();
-    cached_parts_t *held = held_by(relay, number);
+    cached_parts_t *held = holder_parts(relay, number);
     for (unsigned i = shared_levels(prefix); i > 0 && held != NULL; i--) {
         const cached_part_t part = part_of(prefix, i - 1);
         cached_parts_use(held, &part);
@@ -302,7 +311,8 @@
     }
 }
 
-/* The number of a server or kv store by its name; -1 if it is unknown. */
+/* Returns the number of a server or kv store by its name; -1 if it is unknown.
+ */
 static int
 holder_number(const relay_t *relay, const char *holder)
 {
@@ -314,14 +324,14 @@
     return server != NULL ? server->number : KV_STORE_NUMBER_MIN + store;
 }
 
-/* A holder has a part by its own list or events.  Notifies the other daemons
- * if that was not known. */
+/* Records a part that a holder has by its own list or events, and notifies
+ * peers if it was not known. */
 void
 cache_appeared(relay_t *relay, const char *holder, const cached_part_t *part)
 {
     int number = holder_number(relay, holder);
     cached_parts_t *held =
-        number >= 0 ? held_by(relay, (uint16_t)number) : NULL;
+        number >= 0 ? holder_parts(relay, (uint16_t)number) : NULL;
     if (held == NULL || cached_parts_has(held, part->key)) {
         return;
     }
@@ -332,13 +342,14 @@
     relay->notify_part(relay->peers, holder, part, true);
 }
 
-/* A holder evicted a part; false if it was not known to hold it. */
+/* Records that a holder evicted a part; false if it was not known to hold it.
+ */
 bool
 cache_evicted(relay_t *relay, const char *holder, uint64_t key)
 {
     int number = holder_number(relay, holder);
     cached_parts_t *held =
-        number >= 0 ? held_by(relay, (uint16_t)number) : NULL;
+        number >= 0 ? holder_parts(relay, (uint16_t)number) : NULL;
     if (held == NULL || !cached_parts_has(held, key)) {
         return false;
     }
@@ -347,7 +358,7 @@
     return true;
 }
 
-/* Applies a peer's notice that a server uses or reads a part. */
+/* Applies a peer's notice that a holder has used or is prefilling a part. */
 void
 cache_apply_notice(relay_t *relay, const char *holder,
                    const cached_part_t *part)
@@ -364,16 +375,17 @@
                             part->prompt_tokens, now);
     if (part->tokens == 0) {
         cache_follows_asked(relay->cache_follows, pending_key(part->key));
-        return; /* it is only being read */
+        return; /* still being prefilled */
     }
     cache_follows_asked(relay->cache_follows, part->key);
-    cached_parts_use(held_by(relay, number), part);
+    cached_parts_use(holder_parts(relay, number), part);
     if (server != NULL) {
         server_confirm_alive(server, now);
     }
 }
 
-/* What a server held is lost: it has started anew, or has other weights. */
+/* Clears the estimated cache contents of a server that restarted or changed
+ * weights. */
 void
 cache_clear(relay_t *relay, const server_t *server)
 {
@@ -381,7 +393,7 @@
     cached_parts_clear(server->held);
 }
 
-/* Take the size of a server's cache from the configuration. */
+/* Sets the capacity of a server's cache from the configuration. */
 void
 cache_set_capacity(const relay_t *relay, const server_t *server)
 {
@@ -389,11 +401,12 @@
     if (service != NULL) {
         cached_parts_set_capacity(
             server->held,
-            (int64_t)(ROOM_PART * (double)service->cache_tokens));
+            (int64_t)(CAPACITY_SHARE * (double)service->cache_tokens));
     }
 }
 
-/* The same for all caches, when there is a new configuration. */
+/* Applies a new configuration to the kv stores and the capacities of all
+ * caches. */
 void
 cache_set_capacities(relay_t *relay)
 {
@@ -404,9 +417,10 @@
     }
 }
 
-/* A prompt was sent to a server, which will hold its parts once it has read
- * them.  Without this two daemons that get prompts with the same part at the
- * same time have it read at two servers, as whenever weights change. */
+/* Records that a prompt was sent to a server, which will hold its parts after
+ * prefill, and notifies peers.  Without this two daemons that receive prompts
+ * with the same part at the same time have it prefilled at two servers, as
+ * happens after every change of weights. */
 void
 cache_note_pending(relay_t *relay, const prefix_t *prefix, uint16_t number)
 {
@@ -424,17 +438,17 @@
     }
 }
 
-/* Whether the store that a prompt belongs to, by its number, has all that the
- * prompt shares. */
+/* Returns whether the kv store with a number has all shared parts of a prompt.
+ */
 bool
 cache_store_has_shared(const relay_t *relay, const prefix_t *prefix,
                        uint16_t number)
 {
-    return holds(relay, number, prefix, 0, shared_levels(prefix));
+    return holder_has_levels(relay, number, prefix, 0, shared_levels(prefix));
 }
 
-/* Whether a server that a prompt goes to is to have a store, by its number,
- * take what the prompt shares. */
+/* Returns whether a server that a prompt is sent to should save its shared
+ * parts to the kv store with a number. */
 bool
 cache_should_save(relay_t *relay, const prefix_t *prefix,
                   const server_t *server, uint16_t number)
@@ -446,18 +460,18 @@
     if (to == NULL || shared == 0) {
         return false;
     }
-    unsigned kept = levels_held(store->held, prefix, 0, shared);
+    unsigned kept = levels_held_until(store->held, prefix, 0, shared);
     uint32_t total = prefix->levels[shared - 1].tokens;
-    bool told = from != NULL && from->token_bytes > 0;
-    save_params_t ask = {
+    bool known_size = from != NULL && from->token_bytes > 0;
+    save_params_t params = {
         .link_tokens_per_ms =
-            told ? (double)to->link_bits_per_ms /
-                       ((double)from->token_bytes * BITS_PER_BYTE)
-                 : 0,
+            known_size ? (double)to->link_bits_per_ms /
+                             ((double)from->token_bytes * BITS_PER_BYTE)
+                       : 0,
         .hosts = peers_live(relay->peers),
         .same_dc = strcmp(to->dc, server->info.dc) == 0,
         .shared_tokens =
             total - (kept > 0 ? prefix->levels[kept - 1].tokens : 0),
         .unshared_tokens = prefix->tokens - total};
-    return cache_save_allowed(&store->save_bucket, &ask, time_mono_ms());
+    return cache_save_allowed(&store->save_bucket, &params, time_mono_ms());
 }
--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -1,21 +1,21 @@
 #ifndef CELERYSPOOL_CACHE_SOURCE_H
 #define CELERYSPOOL_CACHE_SOURCE_H
 
-/* Where a server can fetch parts of a prompt that it does not hold. */
+/* Where a server can fetch cached parts of a prompt that it does not hold. */
 
 #include "prompt.h"
 #include "relay.h"
 
-/* The numbers from which on the cache map knows the kv stores. */
+/* The cache map's first number of a kv store. */
 #define KV_STORE_NUMBER_MIN SERVER_NUMBERS_MAX
 _Static_assert(KV_STORE_NUMBER_MIN + KV_STORES_MAX == HOLDER_NUMBERS_MAX,
                "numbers of stores");
 
 typedef struct {
-    uint32_t tokens; /* of the prompt that the source holds */
+    uint32_t tokens; /* prompt tokens that the source holds */
     char addr[CS_ADDR_MAX];
-    bool same_dc; /* as the server that fetches */
-    bool kv_store;
+    bool same_dc;        /* in the data centre of the fetching server */
+    bool kv_store;       /* a kv store; else a server */
     double ms_per_token; /* over the slower of the two links */
 } cache_source_t;
 
@@ -23,8 +23,8 @@
     uint32_t
         held_tokens; /* tokens that the server itself is believed to hold */
     uint32_t shared_tokens; /* tokens that are not the request's own */
-    bool found;
-    cache_source_t source; /* the best that holds more, if found */
+    bool found;             /* another holder has more of the prompt */
+    cache_source_t source;  /* valid if found */
 } cache_view_t;
 
 void cache_lookup(relay_t *relay, const prefix_t *prefix,
--- a/relay/kv-stores.c
+++ b/relay/kv-stores.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static bool
-is_named(const relay_config_t *config, const char *name)
+config_has_store(const relay_config_t *config, const char *name)
 {
     const relay_service_t *service = relay_config_service(config, name);
     return service != NULL && service->kv_store;
@@ -20,16 +20,16 @@
 static void
 store_put(kv_stores_t *stores, const relay_service_t *service)
 {
-    int at = kv_stores_find(stores, service->name);
-    if (at < 0) {
-        at = kv_stores_find(stores, "");
+    int index = kv_stores_find(stores, service->name);
+    if (index < 0) {
+        index = kv_stores_find(stores, "");
     }
-    if (at < 0) {
-        log_error("cache", "There is no room for the store %s.",
+    if (index < 0) {
+        log_error("cache", "Too many kv stores: %s is not used.",
                   service->name);
         return;
     }
-    kv_store_t *store = &stores->all[at];
+    kv_store_t *store = &stores->all[index];
     if (store->held == NULL) {
         store->held = cached_parts_new();
         str_copy(store->name, sizeof(store->name), service->name);
@@ -37,15 +37,15 @@
     cached_parts_set_capacity(store->held, service->cache_tokens);
 }
 
-/* Take the stores of a configuration; what is known of those that it names
- * again stays. */
+/* Applies the stores of a configuration; the estimated contents of those that
+ * remain are kept. */
 void
 kv_stores_sync(kv_stores_t *stores, const relay_config_t *config)
 {
     const relay_service_t *service;
     for (size_t i = 0; i < KV_STORES_MAX; i++) {
         kv_store_t *store = &stores->all[i];
-        if (store->held != NULL && !is_named(config, store->name)) {
+        if (store->held != NULL && !config_has_store(config, store->name)) {
             store_clear(store);
         }
     }
@@ -64,7 +64,8 @@
     }
 }
 
-/* The place of the store that keeps a part, or -1 if there is none. */
+/* Returns the index of the store that keeps a part, or -1 if there is no
+ * store. */
 int
 kv_stores_choose(const kv_stores_t *stores, uint64_t key)
 {
@@ -82,8 +83,8 @@
     return best;
 }
 
-/* The place of the store with a name, or of a free one for an empty name; -1
- * if there is none. */
+/* Returns the index of the store with a name, or of a free element for an
+ * empty name; -1 if there is none. */
 int
 kv_stores_find(const kv_stores_t *stores, const char *name)
 {
--- a/relay/kv-stores.h
+++ b/relay/kv-stores.h
@@ -1,10 +1,9 @@
 #ifndef CELERYSPOOL_KV_STORES_H
 #define CELERYSPOOL_KV_STORES_H
 
-/* The kv stores that the configuration names, and what each is
- * believed to hold.  A prompt's parts are kept in one of them, chosen by
- * rendezvous hashing, so that all daemons agree and the stores' room adds up.
- * No I/O and no clock. */
+/* The configured kv stores and their estimated contents.  A prompt's parts are
+ * kept in one of them, chosen by rendezvous hashing, so that all daemons agree
+ * and the stores' capacities add up.  No I/O and no clock. */
 
 #include "../kernel/prefix.h"
 #include "cache-save.h"
@@ -14,9 +13,9 @@
 #define KV_STORES_MAX 8
 
 typedef struct {
-    char name[CS_NAME_MAX]; /* of its service; empty for a free place */
+    char name[CS_NAME_MAX]; /* of the service; empty for a free element */
     cached_parts_t *held;
-    save_bucket_t save_bucket; /* of this host */
+    save_bucket_t save_bucket; /* limits this host's saves */
 } kv_store_t;
 
 typedef struct {
--- a/relay/prompt.c
+++ b/relay/prompt.c
@@ -4,15 +4,15 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The number by which a part's id is known here. */
+/* Returns the hash of a part's id. */
 uint64_t
 prompt_part_hash(const char *id, size_t len)
 {
     return XXH3_64bits(id, len);
 }
 
-/* Read a list of ID:TOKENS, separated by commas.  Parts beyond what is kept
- * count as one with the last, so that the tokens add up. */
+/* Parses a comma-separated list of ID:TOKENS.  Parts beyond the maximum are
+ * merged into the last one, so that the tokens add up. */
 void
 prompt_parse_parts(prompt_t *prompt, const char *text, size_t len)
 {
@@ -27,35 +27,36 @@
             }
             uint32_t tokens = (uint32_t)strtoul(colon + 1, NULL, 10);
             uint64_t part = prompt_part_hash(text, (size_t)(colon - text));
-            unsigned at = prompt->count < PREFIX_LEVELS_MAX
-                              ? prompt->count++
-                              : PREFIX_LEVELS_MAX - 1;
-            prompt->parts[at] ^= part;
-            prompt->tokens[at] += tokens;
+            unsigned index = prompt->count < PREFIX_LEVELS_MAX
+                                 ? prompt->count++
+                                 : PREFIX_LEVELS_MAX - 1;
+            prompt->parts[index] ^= part;
+            prompt->tokens[index] += tokens;
         }
         text = stop + 1;
     }
 }
 
-/* Read "prompt,output". */
+/* Parses "PROMPT,OUTPUT", the prompt's tokens and the maximum of the output's.
+ */
 void
 prompt_parse_tokens(prompt_t *prompt, const char *text, size_t len)
 {
     char copy[64];
     char *rest;
-    size_t room = len < sizeof(copy) - 1 ? len : sizeof(copy) - 1;
-    memcpy(copy, text, room);
-    copy[room] = '\0';
+    size_t copied = len < sizeof(copy) - 1 ? len : sizeof(copy) - 1;
+    memcpy(copy, text, copied);
+    copy[copied] = '\0';
     prompt->prompt_tokens = (uint32_t)strtoul(copy, &rest, 10);
     if (*rest == ',') {
         prompt->output_tokens = (uint32_t)strtoul(rest + 1, NULL, 10);
     }
 }
 
-/* The name under which a server keeps parts.  Parts of older weights, or of
- * another workspace where one of the two is isolated, must never be used: a
- * server checks neither, so both are in the name.  workspace is empty for all
- * that share. */
+/* Writes the salt under which a server stores parts.  Parts of other weights,
+ * or of another workspace if either is isolated, must never be used; a server
+ * checks neither, so both are in the salt.  workspace is empty for all
+ * workspaces that are not isolated. */
 void
 prompt_format_salt(const char *model, int64_t weights, const char *workspace,
                    char out[CS_ID_LEN + 1])
@@ -69,8 +70,8 @@
                    (unsigned long long)hash.low64);
 }
 
-/* The key of a part under a salt.  Servers list what they hold by salt and id
- * alone, so a part has the same key whatever comes before it. */
+/* Returns the key of a part under a salt.  Servers list what they hold by salt
+ * and id alone, so the key does not depend on the parts before it. */
 uint64_t
 prompt_part_key(uint64_t part, const char *salt)
 {
@@ -78,7 +79,7 @@
                                 XXH3_64bits(salt, strlen(salt)));
 }
 
-/* The levels of a prompt under a salt, for the cache map. */
+/* Converts a prompt to levels under a salt, for the cache map. */
 void
 prompt_to_levels(const prompt_t *prompt, const char *salt, prefix_t *out)
 {
@@ -93,8 +94,9 @@
         tokens > prompt->prompt_tokens ? tokens : prompt->prompt_tokens;
 }
 
-/* The key of the prompt's home: of its deepest part that others share, under
- * no salt, so that the home stays when weights change. */
+/* Returns the key that selects the prompt's home server by rendezvous hashing:
+ * a hash of its shared parts, or of its only part.  It has no salt, so that
+ * the home does not move when weights change. */
 uint64_t
 prompt_home_key(const prompt_t *prompt)
 {
@@ -107,7 +109,7 @@
     return chain;
 }
 
-/* Tokens of the parts that other requests may have too. */
+/* Returns the tokens of the parts that other requests can share. */
 uint32_t
 prompt_shared_tokens(const prompt_t *prompt)
 {
--- a/relay/prompt.h
+++ b/relay/prompt.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_PROMPT_H
 #define CELERYSPOOL_PROMPT_H
 
-/* What a request says of its prompt: parts that it shares with others, in
- * order, the last one its own.  No I/O. */
+/* A prompt as described by its request: parts in order, all but the last one
+ * shared with other requests.  No I/O. */
 
 #include "../kernel/prefix.h"
 
@@ -12,7 +12,7 @@
     uint32_t tokens[PREFIX_LEVELS_MAX]; /* of each part */
     unsigned count;
     uint32_t prompt_tokens;
-    uint32_t output_tokens; /* at most */
+    uint32_t output_tokens; /* maximum */
 } prompt_t;
 
 uint64_t prompt_part_hash(const char *id, size_t len);
