--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -6,41 +6,42 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TAKEN_MAX 8
+#define COLLECTED_MAX 8
 
 typedef struct {
     size_t count;
-    char ids[TAKEN_MAX][32];
-    uint32_t tokens[TAKEN_MAX];
-    bool grew[TAKEN_MAX];
-} taken_t;
+    char ids[COLLECTED_MAX][32];
+    uint32_t tokens[COLLECTED_MAX];
+    bool grew[COLLECTED_MAX];
+} collected_t;
 
 static void
-take(void *arg, const cache_event_t *event)
+collect_event(void *arg, const cache_event_t *event)
 {
-    taken_t *taken = arg;
-    ck_assert_uint_lt(taken->count, TAKEN_MAX);
-    str_copy(taken->ids[taken->count], sizeof(taken->ids[0]), event->id);
-    taken->tokens[taken->count] = event->tokens;
-    taken->grew[taken->count++] = event->grew;
+    collected_t *collected = arg;
+    ck_assert_uint_lt(collected->count, COLLECTED_MAX);
+    str_copy(collected->ids[collected->count], sizeof(collected->ids[0]),
+             event->id);
+    collected->tokens[collected->count] = event->tokens;
+    collected->grew[collected->count++] = event->grew;
 }
 
-START_TEST(a_list_gives_its_parts_and_its_place)
+START_TEST(list_gives_its_parts_and_its_place)
 {
     static const char text[] =
         "{\"epoch\":77120,\"next\":120,\"held\":[[\"s1\",\"5c1e\",800,\"m\"],"
         "[\"s1\",\"x\",\"odd\",3,\"m\"],[\"s2\",\"91bd\",128,\"m\"],7]}";
-    taken_t taken = {0};
+    collected_t collected = {0};
     cache_place_t place;
     err_t err = {0};
-    ck_assert_int_eq(platform_cache_list_read(&place, text, strlen(text), take,
-                                              &taken, &err),
+    ck_assert_int_eq(platform_cache_list_read(&place, text, strlen(text),
+                                              collect_event, &collected, &err),
                      0);
     ck_assert_int_eq(place.epoch, 77120);
     ck_assert_int_eq(place.next, 120);
-    ck_assert_uint_eq(taken.count, 2);
-    ck_assert_str_eq(taken.ids[1], "91bd");
-    ck_assert_uint_eq(taken.tokens[0], 800);
+    ck_assert_uint_eq(collected.count, 2);
+    ck_assert_str_eq(collected.ids[1], "91bd");
+    ck_assert_uint_eq(collected.tokens[0], 800);
 }
 END_TEST
 
@@ -51,20 +52,21 @@
         "[7,\"+\",\"s1\",\"5c1e\",800,\"m\"],[8,\"-\",\"s1\",\"91bd\",0,\"m\"]"
         ","
         "[8,\"-\",\"s1\"],[9,\"+\",4,\"5c1e\",800,\"m\"],\"no\"]}";
-    taken_t taken = {0};
+    collected_t collected = {0};
     cache_place_t place;
     err_t err = {0};
-    ck_assert_int_eq(platform_cache_events_read(&place, text, strlen(text),
-                                                take, &taken, &err),
-                     0);
+    ck_assert_int_eq(
+        platform_cache_events_read(&place, text, strlen(text), collect_event,
+                                   &collected, &err),
+        0);
     ck_assert(place.gap);
-    ck_assert_uint_eq(taken.count, 2);
-    ck_assert(taken.grew[0]);
-    ck_assert(!taken.grew[1]);
+    ck_assert_uint_eq(collected.count, 2);
+    ck_assert(collected.grew[0]);
+    ck_assert(!collected.grew[1]);
 }
 END_TEST
 
-START_TEST(what_is_no_answer_is_an_error)
+START_TEST(malformed_answer_is_an_error)
 {
     static const char *const bad[] = {
         "",
@@ -76,23 +78,23 @@
         "{\"epoch\":1,\"next\":2,\"events\":[",
     };
     for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-        taken_t taken = {0};
+        collected_t collected = {0};
         cache_place_t place;
         err_t err = {0};
         ck_assert_int_ne(
-            platform_cache_list_read(&place, bad[i], strlen(bad[i]), take,
-                                     &taken, &err),
+            platform_cache_list_read(&place, bad[i], strlen(bad[i]),
+                                     collect_event, &collected, &err),
             0);
         ck_assert_int_ne(
-            platform_cache_events_read(&place, bad[i], strlen(bad[i]), take,
-                                       &taken, &err),
+            platform_cache_events_read(&place, bad[i], strlen(bad[i]),
+                                       collect_event, &collected, &err),
             0);
-        ck_assert_uint_eq(taken.count, 0);
+        ck_assert_uint_eq(collected.count, 0);
     }
 }
 END_TEST
 
-/* ---- what daemons do with them ---- */
+/* ---- what daemons do with lists and events ---- */
 
 static unsigned notified;
 
@@ -108,7 +110,7 @@
 }
 
 static relay_t *
-relay_with(const char *id, server_t **server)
+relay_new_with_server(const char *id, server_t **server)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     server_entry_t entry = {.slots = 4, .engine = true, .weights = 1};
@@ -123,17 +125,17 @@
 }
 
 static void
-relay_without(relay_t *relay)
+relay_free(relay_t *relay)
 {
     servers_free(relay->servers);
     cache_map_free(relay->cache);
     free(relay);
 }
 
-START_TEST(others_are_notified_of_changes_only)
+START_TEST(peers_are_notified_of_changes_only)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     const cached_part_t part = {.key = 5, .prompt_tokens = 70, .tokens = 70};
     cache_appeared(relay, "a", &part);
     cache_appeared(relay, "a", &part);
@@ -144,15 +146,15 @@
     ck_assert(!cache_evicted(relay, "a", 5));
     ck_assert(!cache_evicted(relay, "stranger", 5));
     ck_assert(!cached_parts_has(server->held, 5));
-    relay_without(relay);
+    relay_free(relay);
 }
 END_TEST
 
-/* Guards against a part that another daemon saw evicted being believed on. */
-START_TEST(a_notice_of_an_eviction_is_taken)
+/* Guards against counting on a part after a peer announced its eviction. */
+START_TEST(eviction_notice_of_a_peer_is_applied)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
@@ -160,68 +162,68 @@
     fact.held = false;
     peers_apply(relay, 1, &fact);
     ck_assert(!cached_parts_has(server->held, 5));
-    relay_without(relay);
+    relay_free(relay);
 }
 END_TEST
 
-/* Guards against a fleet whose daemons tell each other of every request's own
- * parts, and against shared ones that stay unknown behind a restart. */
-START_TEST(a_part_is_announced_once_a_request_asks_for_it)
+/* Guards against daemons that announce every request's unshared part, and
+ * against shared parts that stay unknown after a restart. */
+START_TEST(part_is_announced_once_a_request_has_it)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
-    cached_parts_t *unasked = cached_parts_new();
+    relay_t *relay = relay_new_with_server("a", &server);
+    cached_parts_t *unrequested = cached_parts_new();
     cache_event_t event = {
         .salt = "s1", .id = "5c1e", .tokens = 700, .grew = true};
     uint64_t key = prompt_part_key(prompt_part_hash("5c1e", 4), "s1");
-    cache_event_apply(relay, unasked, "a", &event);
+    cache_event_apply(relay, unrequested, "a", &event);
     ck_assert_uint_eq(notified, 0);
     ck_assert(!cached_parts_has(server->held, key));
-    cache_event_note_request(relay, unasked, "a", key + 1);
+    cache_event_note_request(relay, unrequested, "a", key + 1);
     ck_assert_uint_eq(notified, 0);
-    cache_event_note_request(relay, unasked, "a", key);
+    cache_event_note_request(relay, unrequested, "a", key);
     ck_assert_uint_eq(notified, 1);
     ck_assert(cached_parts_has(server->held, key));
-    cache_event_note_request(relay, unasked, "a", key);
-    cache_event_apply(relay, unasked, "a", &event);
+    cache_event_note_request(relay, unrequested, "a", key);
+    cache_event_apply(relay, unrequested, "a", &event);
     ck_assert_uint_eq(notified, 1);
     event.grew = false;
     event.tokens = 0;
-    cache_event_apply(relay, unasked, "a", &event);
+    cache_event_apply(relay, unrequested, "a", &event);
     ck_assert_uint_eq(notified, 2);
     ck_assert(!cached_parts_has(server->held, key));
-    cached_parts_free(unasked);
-    relay_without(relay);
+    cached_parts_free(unrequested);
+    relay_free(relay);
 }
 END_TEST
 
-/* A part that is evicted before anybody asks for it is forgotten. */
-START_TEST(an_eviction_before_any_request_is_kept_track_of)
+/* A part that is evicted before any request has it is forgotten. */
+START_TEST(part_evicted_before_any_request_is_forgotten)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
-    cached_parts_t *unasked = cached_parts_new();
+    relay_t *relay = relay_new_with_server("a", &server);
+    cached_parts_t *unrequested = cached_parts_new();
     cache_event_t event = {
         .salt = "s1", .id = "5c1e", .tokens = 700, .grew = true};
-    cache_event_apply(relay, unasked, "a", &event);
+    cache_event_apply(relay, unrequested, "a", &event);
     event.grew = false;
-    cache_event_apply(relay, unasked, "a", &event);
+    cache_event_apply(relay, unrequested, "a", &event);
     cache_event_note_request(
-        relay, unasked, "a",
+        relay, unrequested, "a",
         prompt_part_key(prompt_part_hash("5c1e", 4), "s1"));
     ck_assert_uint_eq(notified, 0);
-    cached_parts_free(unasked);
-    relay_without(relay);
+    cached_parts_free(unrequested);
+    relay_free(relay);
 }
 END_TEST
 
-/* Guards against a herd that has every engine list its cache to each daemon,
- * which stalls the engines: a daemon that knows no other yet follows nothing.
- */
-START_TEST(a_daemon_that_has_just_started_follows_nothing)
+/* Guards against every engine listing its cache to each daemon after all
+ * daemons restarted, which stalls the engines: a daemon that has just started
+ * follows nothing. */
+START_TEST(newly_started_daemon_follows_nothing)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     relay_config_t config = {0};
     cache_follows_t *follows = cache_follows_new(relay);
     relay->servers_listed = true;
@@ -229,31 +231,31 @@
     cache_follows_tick(follows);
     ck_assert_uint_eq(cache_follows_count(follows), 0);
     free(follows);
-    relay_without(relay);
+    relay_free(relay);
 }
 END_TEST
 
-/* ---- the load ---- */
+/* ---- simulated requests ---- */
 
 #define PARTS 400
 #define PART_TOKENS 500
-#define ROOM_TOKENS 100000
-#define UNSEEN_TOKENS 700 /* of each request's own part */
+#define CAPACITY_TOKENS 100000
+#define UNSHARED_TOKENS 700 /* in each request */
 #define STEPS 4000
 
-/* Plays requests for shared parts at an engine, three of four of which come
- * from hosts whose fillings this daemon does not see.  Returns how many of the
- * parts that it counts on are no longer there. */
+/* Simulates requests for shared parts at an engine, three of four of which
+ * come from hosts that announce nothing to this daemon.  Returns how many of
+ * this daemon's requests are for a part that it wrongly counts as held. */
 static unsigned
-play(bool follows)
+simulate(bool follows)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     cached_parts_t *truth = cached_parts_new();
     rng_t rng = {5};
     unsigned wrong = 0;
-    cached_parts_set_capacity(truth, ROOM_TOKENS);
-    cached_parts_set_capacity(server->held, ROOM_TOKENS);
+    cached_parts_set_capacity(truth, CAPACITY_TOKENS);
+    cached_parts_set_capacity(server->held, CAPACITY_TOKENS);
     for (unsigned step = 0; step < STEPS; step++) {
         uint64_t key = 1 + rng_below(&rng, PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
@@ -261,41 +263,41 @@
         wrong += own && cached_parts_has(server->held, key) &&
                  !cached_parts_has(truth, key);
         cached_parts_use(truth, &part);
-        cached_parts_add_unshared(truth, UNSEEN_TOKENS);
+        cached_parts_add_unshared(truth, UNSHARED_TOKENS);
         if (own) {
             cached_parts_use(server->held, &part);
-            cached_parts_add_unshared(server->held, UNSEEN_TOKENS);
+            cached_parts_add_unshared(server->held, UNSHARED_TOKENS);
         }
-        for (uint64_t at = 1; follows && at <= PARTS; at++) {
-            const cached_part_t seen = {at, PART_TOKENS, PART_TOKENS};
-            if (cached_parts_has(truth, at)) {
+        for (uint64_t other_key = 1; follows && other_key <= PARTS;
+             other_key++) {
+            const cached_part_t seen = {other_key, PART_TOKENS, PART_TOKENS};
+            if (cached_parts_has(truth, other_key)) {
                 cache_appeared(relay, "a", &seen);
             }
             else {
-                (void)cache_evicted(relay, "a", at);
+                (void)cache_evicted(relay, "a", other_key);
             }
         }
     }
     cached_parts_free(truth);
-    relay_without(relay);
+    relay_free(relay);
     return wrong;
 }
 
 /* Guards against requests sent to an engine that has evicted their parts. */
-START_TEST(events_correct_what_requests_alone_do_not_show)
+START_TEST(events_correct_the_estimate)
 {
-    unsigned alone = play(false);
-    unsigned followed = play(true);
+    unsigned alone = simulate(false);
+    unsigned followed = simulate(true);
     ck_assert_uint_gt(alone, STEPS / 4 / 20); /* of this daemon's requests */
     ck_assert_uint_eq(followed, 0);
 }
 END_TEST
 
-TEST_MAIN("cache-events", a_list_gives_its_parts_and_its_place,
-          events_give_changes_and_gaps, what_is_no_answer_is_an_error,
-          others_are_notified_of_changes_only,
-          a_notice_of_an_eviction_is_taken,
-          a_part_is_announced_once_a_request_asks_for_it,
-          an_eviction_before_any_request_is_kept_track_of,
-          a_daemon_that_has_just_started_follows_nothing,
-          events_correct_what_requests_alone_do_not_show)
+TEST_MAIN("cache-events", list_gives_its_parts_and_its_place,
+          events_give_changes_and_gaps, malformed_answer_is_an_error,
+          peers_are_notified_of_changes_only,
+          eviction_notice_of_a_peer_is_applied,
+          part_is_announced_once_a_request_has_it,
+          part_evicted_before_any_request_is_forgotten,
+          newly_started_daemon_follows_nothing, events_correct_the_estimate)
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -12,16 +12,18 @@
 #define LINK_TOKENS_PER_MS 576.0
 #define GIVEN_UP_MS 2000
 #define IN_TIME_MS 300
-#define EVICTED_OF_10 3 /* threads that an engine has evicted meanwhile */
+#define EVICTED_OF_10 3 /* of 10 requested threads, evicted by the engine */
 #define SPAN_MS 20000
 
-/* A store behind one link: transfers one after the other. */
+/* A store behind one link that makes its transfers one after the other. */
 typedef struct {
-    double free_ms; /* when the link is free */
+    double free_ms; /* time when the link becomes free */
     bool has[THREADS];
     unsigned offered;
     unsigned arrived;
-    double fetched; /* of the evicted threads asked for, in time, late on */
+    /* Share of requested, evicted threads that are fetched in time, counted in
+     * the second half. */
+    double fetched;
 } store_t;
 
 static uint32_t
@@ -31,7 +33,8 @@
     return (uint32_t)(-log(u) * OWN_TOKENS);
 }
 
-/* Whether a transfer is not given up; it ends when the link is free. */
+/* Starts a transfer, which ends when the link is free; false if it is given
+ * up. */
 static bool
 transfer(store_t *store, double now, double tokens)
 {
@@ -43,15 +46,15 @@
     return true;
 }
 
-/* Plays prompts of many threads that come to many hosts: an evicted thread is
+/* Simulates prompts of many threads at many hosts: an evicted thread is
  * fetched if the store has it, and one that it lacks may be saved. */
 static store_t
-play(bool limited)
+simulate(bool limited)
 {
     store_t store = {0};
-    save_bucket_t shares[HOSTS] = {0};
+    save_bucket_t buckets[HOSTS] = {0};
     rng_t rng = {11};
-    unsigned asked = 0;
+    unsigned requested = 0;
     unsigned fetched = 0;
     for (int64_t now = 1; now <= SPAN_MS; now++) {
         if (rng_below(&rng, 1000) >= PROMPTS_PER_S) {
@@ -59,41 +62,41 @@
         }
         size_t thread = rng_below(&rng, THREADS);
         bool same_dc = rng_below(&rng, 5) == 0;
-        const save_params_t ask = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
-                                   .hosts = HOSTS,
-                                   .same_dc = same_dc,
-                                   .shared_tokens = THREAD_TOKENS,
-                                   .unshared_tokens = own_tokens(&rng)};
+        const save_params_t params = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
+                                      .hosts = HOSTS,
+                                      .same_dc = same_dc,
+                                      .shared_tokens = THREAD_TOKENS,
+                                      .unshared_tokens = own_tokens(&rng)};
         double cost = same_dc ? 1.0 : 2.0;
         bool counts = now > SPAN_MS / 2;
         if (rng_below(&rng, 10) < EVICTED_OF_10) {
-            asked += counts;
+            requested += counts;
             fetched +=
                 store.has[thread] && counts &&
-                transfer(&store, (double)now, ask.shared_tokens * cost) &&
+                transfer(&store, (double)now, params.shared_tokens * cost) &&
                 store.free_ms - (double)now < IN_TIME_MS;
         }
         if (store.has[thread] ||
-            (limited && !cache_save_allowed(&shares[rng_below(&rng, HOSTS)],
-                                            &ask, now))) {
+            (limited && !cache_save_allowed(&buckets[rng_below(&rng, HOSTS)],
+                                            &params, now))) {
             continue;
         }
         store.offered++;
         store.has[thread] =
             transfer(&store, (double)now,
-                     (ask.shared_tokens + ask.unshared_tokens) * cost);
+                     (params.shared_tokens + params.unshared_tokens) * cost);
         store.arrived += store.has[thread];
     }
-    store.fetched = (double)fetched / asked;
+    store.fetched = (double)fetched / requested;
     return store;
 }
 
-/* Guards against a store's link that is filled with transfers of which most
- * are given up, so that threads are read again instead of fetched. */
-START_TEST(a_full_link_takes_what_others_can_use)
+/* Guards against a store's link overloaded with transfers that are mostly
+ * given up, so that threads are prefilled again instead of fetched. */
+START_TEST(full_link_is_used_for_shared_parts)
 {
-    store_t all = play(false);
-    store_t limited = play(true);
+    store_t all = simulate(false);
+    store_t limited = simulate(true);
     ck_assert_uint_eq(limited.arrived, limited.offered);
     ck_assert_uint_lt(all.arrived, all.offered);
     ck_assert_double_lt(all.fetched, 0.1);
@@ -101,49 +104,50 @@
 }
 END_TEST
 
-/* Where links are idle, each prompt is saved as soon as it is read. */
-START_TEST(an_idle_link_takes_every_prompt)
+/* With idle links each prompt is saved as soon as it is prefilled. */
+START_TEST(idle_link_takes_every_prompt)
 {
-    save_bucket_t share = {0};
-    const save_params_t ask = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
-                               .hosts = 4,
-                               .same_dc = false,
-                               .shared_tokens = 500,
-                               .unshared_tokens = 8000};
+    save_bucket_t bucket = {0};
+    const save_params_t params = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
+                                  .hosts = 4,
+                                  .same_dc = false,
+                                  .shared_tokens = 500,
+                                  .unshared_tokens = 8000};
     for (int64_t now = 1000; now < 60000; now += 1000) {
-        ck_assert(cache_save_allowed(&share, &ask, now));
+        ck_assert(cache_save_allowed(&bucket, &params, now));
     }
 }
 END_TEST
 
-START_TEST(nothing_new_is_not_saved_and_unknown_links_are_not_limited)
+START_TEST(saved_parts_are_not_saved_again_and_unknown_links_not_limited)
 {
-    save_bucket_t share = {0};
-    save_params_t ask = {
+    save_bucket_t bucket = {0};
+    save_params_t params = {
         .link_tokens_per_ms = 10, .hosts = 1, .unshared_tokens = 100};
-    ck_assert(!cache_save_allowed(&share, &ask, 1000));
-    ask.shared_tokens = 100000;
-    ask.link_tokens_per_ms = 0;
-    ck_assert(cache_save_allowed(&share, &ask, 1000));
-    ck_assert(cache_save_allowed(&share, &ask, 1000));
+    ck_assert(!cache_save_allowed(&bucket, &params, 1000));
+    params.shared_tokens = 100000;
+    params.link_tokens_per_ms = 0;
+    ck_assert(cache_save_allowed(&bucket, &params, 1000));
+    ck_assert(cache_save_allowed(&bucket, &params, 1000));
 }
 END_TEST
 
-/* A debt is paid before the next prompt, however useful it is. */
-START_TEST(a_debt_is_paid_first)
+/* An overdrawn bucket refills before the next prompt is saved, however much of
+ * it is shared. */
+START_TEST(overdrawn_bucket_refills_first)
 {
-    save_bucket_t share = {0};
-    save_params_t ask = {.link_tokens_per_ms = 20,
-                         .hosts = 1,
-                         .same_dc = true,
-                         .shared_tokens = 50000};
-    ck_assert(cache_save_allowed(&share, &ask, 1000));
-    ck_assert(!cache_save_allowed(&share, &ask, 1500));
-    ck_assert(cache_save_allowed(&share, &ask, 7000));
+    save_bucket_t bucket = {0};
+    save_params_t params = {.link_tokens_per_ms = 20,
+                            .hosts = 1,
+                            .same_dc = true,
+                            .shared_tokens = 50000};
+    ck_assert(cache_save_allowed(&bucket, &params, 1000));
+    ck_assert(!cache_save_allowed(&bucket, &params, 1500));
+    ck_assert(cache_save_allowed(&bucket, &params, 7000));
 }
 END_TEST
 
-TEST_MAIN("cache-save", a_full_link_takes_what_others_can_use,
-          an_idle_link_takes_every_prompt,
-          nothing_new_is_not_saved_and_unknown_links_are_not_limited,
-          a_debt_is_paid_first)
+TEST_MAIN("cache-save", full_link_is_used_for_shared_parts,
+          idle_link_takes_every_prompt,
+          saved_parts_are_not_saved_again_and_unknown_links_not_limited,
+          overdrawn_bucket_refills_first)
--- a/tests/test-cache-source.c
+++ b/tests/test-cache-source.c
@@ -5,43 +5,42 @@
 
 static const relay_service_t store = {.kv_store = true, .addr = "127.0.0.1:9"};
 
-/* Callers wait for a prompt to be read again though the store has it: the
- * server had dropped the part a moment before, the router believed that it
- * still held it, and so told it of no place to fetch it from. */
-START_TEST(a_wrong_belief_does_not_cost_the_prompt)
+/* Guards against a prompt that is prefilled again though the store has it: the
+ * server has just evicted a part that it is estimated to hold, so it must get
+ * the store's address all the same. */
+START_TEST(wrong_estimate_does_not_prevent_a_fetch)
 {
-    cache_view_t believed = {.held_tokens = 5000, .shared_tokens = 5000};
-    ck_assert_str_eq(cache_fetch_address(&believed, &store), store.addr);
-    ck_assert_ptr_null(cache_fetch_address(&believed, NULL));
+    cache_view_t view = {.held_tokens = 5000, .shared_tokens = 5000};
+    ck_assert_str_eq(cache_fetch_address(&view, &store), store.addr);
+    ck_assert_ptr_null(cache_fetch_address(&view, NULL));
 }
 END_TEST
 
-/* A server that holds more goes before the store, and a prompt that shares
- * nothing is fetched nowhere. */
-START_TEST(a_known_source_goes_first)
+/* A server that holds more is preferred to the store, and nothing is fetched
+ * for a prompt without shared parts. */
+START_TEST(known_source_is_preferred)
 {
     cache_view_t view = {
         .held_tokens = 100, .shared_tokens = 5000, .found = true};
     str_copy(view.source.addr, sizeof(view.source.addr), "127.0.0.1:7");
     ck_assert_str_eq(cache_fetch_address(&view, &store), "127.0.0.1:7");
     ck_assert_str_eq(cache_fetch_address(&view, NULL), "127.0.0.1:7");
-    cache_view_t own = {.shared_tokens = 0};
-    ck_assert_ptr_null(cache_fetch_address(&own, &store));
+    cache_view_t unshared = {.shared_tokens = 0};
+    ck_assert_ptr_null(cache_fetch_address(&unshared, &store));
 }
 END_TEST
 
-/* The time to fetch is that of what is lacking, over the link that was told.
- */
-START_TEST(a_fetch_takes_the_links_time)
+/* The fetch time is that of the missing tokens over the source's link. */
+START_TEST(fetch_time_is_that_of_missing_tokens)
 {
     cache_view_t view = {
         .held_tokens = 1000, .shared_tokens = 5000, .found = true};
     view.source.tokens = 5000;
     view.source.ms_per_token = 0.013;
-    double far = cache_fetch_ms(&view);
+    double partly_held = cache_fetch_ms(&view);
     view.held_tokens = 5000;
-    double nothing = cache_fetch_ms(&view);
-    ck_assert_double_eq_tol(far - nothing, 52, 0.001);
+    double all_held = cache_fetch_ms(&view);
+    ck_assert_double_eq_tol(partly_held - all_held, 52, 0.001);
     view.found = false;
     ck_assert_double_eq(cache_fetch_ms(&view), 0);
 }
@@ -67,9 +66,9 @@
     server_confirm_alive(server, time_mono_ms());
 }
 
-/* Guards against counting parts behind a missing one as held: a server reads
+/* Guards against counting parts after a missing one as held: a server prefills
  * them again. */
-START_TEST(parts_behind_a_gap_are_of_no_use)
+START_TEST(parts_after_a_gap_are_not_counted)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->servers = servers_new();
@@ -102,10 +101,11 @@
 }
 END_TEST
 
-/* Guards against an answer made on other weights: a run that goes on beside a
- * load and is read in again leaves parts under the older weights' name that
- * the newer ones made, and its server must not be fetched from for these. */
-START_TEST(a_server_on_other_weights_is_no_source)
+/* Guards against an answer from parts of other weights.  A request that
+ * continues through a weights load and is prefilled again stores parts of the
+ * newer weights under the salt of the older ones, so a server on other weights
+ * must not be a source. */
+START_TEST(server_on_other_weights_is_no_source)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->servers = servers_new();
@@ -127,7 +127,7 @@
 }
 END_TEST
 
-TEST_MAIN("cache-source", a_wrong_belief_does_not_cost_the_prompt,
-          a_known_source_goes_first, a_fetch_takes_the_links_time,
-          parts_behind_a_gap_are_of_no_use,
-          a_server_on_other_weights_is_no_source)
+TEST_MAIN("cache-source", wrong_estimate_does_not_prevent_a_fetch,
+          known_source_is_preferred, fetch_time_is_that_of_missing_tokens,
+          parts_after_a_gap_are_not_counted,
+          server_on_other_weights_is_no_source)
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -22,10 +22,10 @@
     cached_parts_use(held, &used);
 }
 
-/* Callers wait for prompts to be read again though the router placed them
- * where it believed them held: the engine had little memory and had dropped
- * what it used least recently, and the router believed by age alone. */
-START_TEST(what_was_used_least_recently_is_gone_first)
+/* Guards against an estimate by age alone: an engine with little memory evicts
+ * its least recently used parts, and prompts placed there for these parts are
+ * prefilled again. */
+START_TEST(least_recently_used_part_is_evicted_first)
 {
     cached_parts_t *held = cached_parts_new();
     cached_parts_set_capacity(held, 1000);
@@ -47,9 +47,9 @@
 }
 END_TEST
 
-/* A configuration without a size, or with one that makes no sense, must not
- * make the list useless; one that shrinks the cache drops at once. */
-START_TEST(a_size_that_says_nothing_is_left_out)
+/* A configuration with a missing or invalid size must not clear the estimate;
+ * one that shrinks the cache evicts at once. */
+START_TEST(invalid_capacity_is_ignored)
 {
     cached_parts_t *held = cached_parts_new();
     use(held, 1, 400);
@@ -71,11 +71,11 @@
 }
 END_TEST
 
-/* Another host's requests push parts out too: it tells how much they brought
- * in, as a count that only grows and wraps.  A host that is heard of for the
- * first time says nothing of what has changed, and one that starts anew counts
- * from nothing: its count goes back, which must not look like 4 billion. */
-START_TEST(what_other_hosts_send_pushes_out_too)
+/* Another host's requests evict parts too: it announces the tokens that they
+ * brought in as a running total that wraps.  Its first announcement gives no
+ * difference, and a restarted host counts from 0: the lower total must not
+ * count as an increase of 4 billion. */
+START_TEST(requests_of_other_hosts_evict_too)
 {
     servers_t *servers = servers_new();
     server_entry_t entry = {.id = "a", .service = "s", .addr = "127.0.0.1:1"};
@@ -100,13 +100,13 @@
 }
 END_TEST
 
-/* ---- against an engine that drops block by block ---- */
+/* ---- against an engine that evicts by block ---- */
 
 #define PARTS 60u
 #define PART_BLOCKS 200u
 #define ENGINE_BLOCKS 6000u
 
-/* Whether an engine has all of a part. */
+/* Returns whether an engine has all blocks of a part. */
 static bool
 engine_holds(const engine_cache_t *engine, uint64_t key, uint64_t blocks)
 {
@@ -118,21 +118,23 @@
     return true;
 }
 
-/* Reads a part; the last blocks are the first to be dropped. */
+/* Stores a part's blocks from the last to the first, so that the last ones are
+ * evicted first. */
 static void
-engine_read(engine_cache_t *engine, uint64_t key, uint64_t blocks)
+engine_store_part(engine_cache_t *engine, uint64_t key, uint64_t blocks)
 {
     for (uint64_t i = blocks; i > 0; i--) {
         engine_cache_store(engine, key * 1000000 + i - 1);
     }
 }
 
-/* Seeded histories of one engine: a fifth of the filling is heard of late.
- * What is believed at each use is right in 95 of 100 cases. */
-START_TEST(beliefs_follow_an_engine)
+/* Seeded histories of one engine in which a fifth of the notices of unshared
+ * tokens come late.  At least 95 of 100 estimates are right when a part is
+ * used. */
+START_TEST(estimate_follows_an_engine)
 {
     unsigned right = 0;
-    unsigned asked = 0;
+    unsigned total = 0;
     for (uint64_t seed = 1; seed <= 20; seed++) {
         rng_t rng = {.state = seed};
         engine_cache_t *engine = engine_cache_new(ENGINE_BLOCKS);
@@ -143,12 +145,12 @@
         for (unsigned i = 0; i < 600; i++) {
             uint64_t key = rng_next(&rng) % PARTS;
             uint64_t blocks = rng_next(&rng) % 300;
-            bool believed = cached_parts_has(held, key);
+            bool estimated = cached_parts_has(held, key);
             right +=
-                believed == engine_holds(engine, key, PART_BLOCKS) ? 1 : 0;
-            asked++;
-            engine_read(engine, key, PART_BLOCKS);
-            engine_read(engine, own++, blocks);
+                estimated == engine_holds(engine, key, PART_BLOCKS) ? 1 : 0;
+            total++;
+            engine_store_part(engine, key, PART_BLOCKS);
+            engine_store_part(engine, own++, blocks);
             use(held, key, PART_BLOCKS * BLOCK_TOKENS);
             late += (uint32_t)blocks * BLOCK_TOKENS;
             if (rng_next(&rng) % 5 != 0) {
@@ -159,11 +161,11 @@
         cached_parts_free(held);
         engine_cache_free(engine);
     }
-    ck_assert_uint_ge(right * 100, asked * 95);
+    ck_assert_uint_ge(right * 100, total * 95);
 }
 END_TEST
 
-/* ---- what callers get ---- */
+/* ---- tokens that are prefilled again ---- */
 
 #define SERVERS 6u
 #define FAMILIES 60u
@@ -171,17 +173,17 @@
 #define OWN_BLOCKS 180u
 #define SMALL_BLOCKS 2400u
 #define PER_SECOND 20.0
-#define PLAYED 2400u
-#define READ_TOKENS_PER_S 48000.0
+#define REQUESTS 2400u
+#define PREFILL_TOKENS_PER_S 48000.0
 #define WAIT_MEAN_MS 40.0
-/* Belief by age: what was noted in this time is taken for held. */
+/* Estimate by age: a part counts as held for this time after its use. */
 #define AGE_S 6.0
 
 typedef struct {
     engine_cache_t *engine;
     cached_parts_t *held;
-    double noted_s[FAMILIES];
-} play_server_t;
+    double used_s[FAMILIES]; /* when each family's part was last used */
+} sim_server_t;
 
 static double
 uniform(rng_t *rng)
@@ -189,12 +191,12 @@
     return (double)(rng_next(rng) % 1000000 + 1) / 1000001.0;
 }
 
-/* How what a server holds is known. */
-typedef enum { BELIEF_AGE, BELIEF_USE, BELIEF_ORACLE } belief_t;
+/* How a server's cache contents are estimated. */
+typedef enum { ESTIMATE_AGE, ESTIMATE_USE, ESTIMATE_EXACT } estimate_t;
 
-/* Blocks of shared parts that a server still has, counted from the first. */
+/* Returns how many leading blocks of a shared part a server still has. */
 static uint64_t
-blocks_kept(play_server_t *server, uint64_t family)
+leading_blocks(sim_server_t *server, uint64_t family)
 {
     uint64_t i = 0;
     while (i < FAMILY_BLOCKS &&
@@ -205,29 +207,29 @@
 }
 
 static bool
-believes(const play_server_t *server, uint64_t family, double now,
-         belief_t belief)
+estimated_held(const sim_server_t *server, uint64_t family, double now,
+               estimate_t estimate)
 {
-    switch (belief) {
-        case BELIEF_AGE:
-            return now - server->noted_s[family] < AGE_S;
-        case BELIEF_USE:
+    switch (estimate) {
+        case ESTIMATE_AGE:
+            return now - server->used_s[family] < AGE_S;
+        case ESTIMATE_USE:
             return cached_parts_has(server->held, family);
-        case BELIEF_ORACLE:
+        case ESTIMATE_EXACT:
             return engine_holds(server->engine, family, FAMILY_BLOCKS);
     }
     return false;
 }
 
-/* Prompts of many families come to servers with room for a few seconds' worth
- * of them, whose queues differ from moment to moment; each goes where the
- * placement policy wants it.  The tokens of shared parts that are read. */
+/* Places prompts of many families by the placement policy on servers whose
+ * caches hold a few seconds' worth of them and whose queues vary.  Returns the
+ * tokens of shared parts that are prefilled. */
 static double
-play(uint64_t seed, belief_t belief)
+simulate(uint64_t seed, estimate_t estimate)
 {
     rng_t rng = {.state = seed};
-    play_server_t servers[SERVERS] = {0};
-    double read = 0;
+    sim_server_t servers[SERVERS] = {0};
+    double prefilled = 0;
     uint64_t own = 1000;
     for (unsigned i = 0; i < SERVERS; i++) {
         servers[i].engine = engine_cache_new(SMALL_BLOCKS);
@@ -235,61 +237,64 @@
         cached_parts_set_capacity(servers[i].held,
                                   (int64_t)SMALL_BLOCKS * BLOCK_TOKENS);
         for (unsigned f = 0; f < FAMILIES; f++) {
-            servers[i].noted_s[f] = -AGE_S;
+            servers[i].used_s[f] = -AGE_S;
         }
     }
-    for (unsigned n = 0; n < PLAYED; n++) {
+    for (unsigned n = 0; n < REQUESTS; n++) {
         double now = n / PER_SECOND;
         uint64_t family = rng_next(&rng) % FAMILIES;
         candidate_t all[SERVERS] = {0};
         prefix_t shared = {.tokens = FAMILY_BLOCKS * BLOCK_TOKENS};
         for (unsigned i = 0; i < SERVERS; i++) {
-            bool believed = believes(&servers[i], family, now, belief);
+            bool estimated =
+                estimated_held(&servers[i], family, now, estimate);
             all[i].id = (uint16_t)i;
             all[i].wait_ms = -WAIT_MEAN_MS * log(uniform(&rng));
-            all[i].rate = READ_TOKENS_PER_S;
-            all[i].cached = believed ? shared.tokens : 0;
+            all[i].rate = PREFILL_TOKENS_PER_S;
+            all[i].cached = estimated ? shared.tokens : 0;
             all[i].rank = place_weight(family, i % 2 == 0 ? "a" : "b") + i;
             all[i].same_dc = true;
         }
         place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
         size_t best = policy_find("cost")->choose(all, SERVERS, &ask);
-        play_server_t *server = &servers[best];
-        read += (double)(FAMILY_BLOCKS - blocks_kept(server, family)) *
-                BLOCK_TOKENS;
-        engine_read(server->engine, family, FAMILY_BLOCKS);
-        engine_read(server->engine, own++, OWN_BLOCKS);
+        sim_server_t *server = &servers[best];
+        prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
+                     BLOCK_TOKENS;
+        engine_store_part(server->engine, family, FAMILY_BLOCKS);
+        engine_store_part(server->engine, own++, OWN_BLOCKS);
         use(server->held, family, FAMILY_BLOCKS * BLOCK_TOKENS);
         cached_parts_add_unshared(server->held, OWN_BLOCKS * BLOCK_TOKENS);
-        server->noted_s[family] = now;
+        server->used_s[family] = now;
     }
     for (unsigned i = 0; i < SERVERS; i++) {
         engine_cache_free(servers[i].engine);
         cached_parts_free(servers[i].held);
     }
-    return read;
+    return prefilled;
 }
 
-/* The load: a customer whose engines have room for about three seconds of
- * their prompts.  Callers wait for every token that is read again.  Of what
- * belief by age has read beyond a router that sees into every cache, at most
- * a third may be left. */
-START_TEST(less_is_read_again_where_memory_is_short)
+/* Guards against repeated prefill on engines whose caches hold about three
+ * seconds of their prompts.  Compared with exact knowledge of every cache, the
+ * estimate by use may prefill at most a third of the excess tokens that the
+ * estimate by age does. */
+START_TEST(less_is_prefilled_again_with_small_caches)
 {
-    double read[3] = {0};
+    double prefilled[3] = {0};
     for (uint64_t seed = 1; seed <= 5; seed++) {
-        for (belief_t belief = BELIEF_AGE; belief <= BELIEF_ORACLE; belief++) {
-            read[belief] += play(seed, belief);
+        for (estimate_t estimate = ESTIMATE_AGE; estimate <= ESTIMATE_EXACT;
+             estimate++) {
+            prefilled[estimate] += simulate(seed, estimate);
         }
     }
-    printf("shared tokens read: by age %.0f, by use %.0f, seen %.0f\n",
-           read[BELIEF_AGE], read[BELIEF_USE], read[BELIEF_ORACLE]);
-    ck_assert(read[BELIEF_USE] - read[BELIEF_ORACLE] <=
-              (read[BELIEF_AGE] - read[BELIEF_ORACLE]) / 3);
+    printf("shared tokens prefilled: by age %.0f, by use %.0f, exact %.0f\n",
+           prefilled[ESTIMATE_AGE], prefilled[ESTIMATE_USE],
+           prefilled[ESTIMATE_EXACT]);
+    ck_assert(prefilled[ESTIMATE_USE] - prefilled[ESTIMATE_EXACT] <=
+              (prefilled[ESTIMATE_AGE] - prefilled[ESTIMATE_EXACT]) / 3);
 }
 END_TEST
 
-TEST_MAIN("cached-parts", what_was_used_least_recently_is_gone_first,
-          a_size_that_says_nothing_is_left_out,
-          what_other_hosts_send_pushes_out_too, beliefs_follow_an_engine,
-          less_is_read_again_where_memory_is_short)
+TEST_MAIN("cached-parts", least_recently_used_part_is_evicted_first,
+          invalid_capacity_is_ignored, requests_of_other_hosts_evict_too,
+          estimate_follows_an_engine,
+          less_is_prefilled_again_with_small_caches)
--- a/tests/test-kv-stores.c
+++ b/tests/test-kv-stores.c
@@ -36,8 +36,8 @@
     return rng_next(&rng);
 }
 
-/* Keep all parts in turn, twice; how many the stores are believed to hold in
- * the end. */
+/* Saves all parts in turn, twice, and returns how many of them the stores hold
+ * in the end. */
 static unsigned
 parts_kept(kv_stores_t *stores)
 {
@@ -45,8 +45,8 @@
     for (unsigned i = 0; i < 2 * PARTS; i++) {
         uint64_t key = part_key(i % PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
-        int at = kv_stores_choose(stores, key);
-        cached_parts_use(stores->all[at].held, &part);
+        int index = kv_stores_choose(stores, key);
+        cached_parts_use(stores->all[index].held, &part);
     }
     for (unsigned i = 0; i < PARTS; i++) {
         uint64_t key = part_key(i);
@@ -58,10 +58,10 @@
     return kept;
 }
 
-/* Callers wait for parts to be read that should have been kept: a customer has
- * three stores, each of half the size of what its prompts share, and the
- * router used one of them.  All three together hold everything. */
-START_TEST(the_room_of_all_stores_adds_up)
+/* Guards against using only one of several stores, so that parts are prefilled
+ * again: each of three stores has half the size of all shared parts, and
+ * together they hold everything. */
+START_TEST(capacities_of_stores_add_up)
 {
     kv_stores_t stores = {0};
     relay_config_t *one = config_of(1, 9);
@@ -76,9 +76,9 @@
 }
 END_TEST
 
-/* A new configuration drops one of three stores: what the others are known to
- * hold is not forgotten, and only the dropped one's parts move. */
-START_TEST(a_store_that_goes_takes_only_its_own_parts)
+/* A new configuration removes one of three stores: the estimated contents of
+ * the others are kept, and only the removed one's parts move. */
+START_TEST(removed_store_affects_only_its_own_parts)
 {
     kv_stores_t stores = {0};
     relay_config_t *three = config_of(3, 9);
@@ -87,8 +87,8 @@
     kv_stores_sync(&stores, three);
     (void)parts_kept(&stores);
     for (unsigned i = 0; i < PARTS; i++) {
-        int at = kv_stores_choose(&stores, part_key(i));
-        str_copy(before[i], CS_NAME_MAX, stores.all[at].name);
+        int index = kv_stores_choose(&stores, part_key(i));
+        str_copy(before[i], CS_NAME_MAX, stores.all[index].name);
     }
     kv_stores_sync(&stores, two);
     ck_assert_int_eq(kv_stores_find(&stores, "kept-1"), -1);
@@ -106,9 +106,8 @@
 }
 END_TEST
 
-/* A configuration with no store at all, or with more than there are places
- * for, leaves a router that works. */
-START_TEST(none_and_too_many)
+/* A configuration with no store or with more than the maximum is handled. */
+START_TEST(no_store_and_too_many_stores)
 {
     kv_stores_t stores = {0};
     relay_config_t *none = config_of(0, 9);
@@ -127,5 +126,6 @@
 }
 END_TEST
 
-TEST_MAIN("kv-stores", the_room_of_all_stores_adds_up,
-          a_store_that_goes_takes_only_its_own_parts, none_and_too_many)
+TEST_MAIN("kv-stores", capacities_of_stores_add_up,
+          removed_store_affects_only_its_own_parts,
+          no_store_and_too_many_stores)
--- a/tests/test-prompt.c
+++ b/tests/test-prompt.c
@@ -11,8 +11,8 @@
     return prompt;
 }
 
-/* A server lists salt and id of a part, not what came before it. */
-START_TEST(a_part_has_the_key_under_which_servers_list_it)
+/* A server lists the salt and id of a part, not the parts before it. */
+START_TEST(part_key_depends_on_salt_and_id_only)
 {
     const prompt_t prompt = prompt_of("5c1e07a2:800,91bd3f06:410,e4402b7d:9");
     prefix_t levels;
@@ -24,9 +24,9 @@
 }
 END_TEST
 
-/* Guards against parts of other weights or of another workspace being taken
- * for a prompt's own. */
-START_TEST(a_part_has_another_key_under_another_salt)
+/* Guards against using parts of other weights or of another workspace for a
+ * prompt. */
+START_TEST(part_key_differs_by_salt)
 {
     uint64_t part = prompt_part_hash("91bd3f06", 8);
     ck_assert_uint_ne(prompt_part_key(part, "s1"),
@@ -36,5 +36,5 @@
 }
 END_TEST
 
-TEST_MAIN("prompt", a_part_has_the_key_under_which_servers_list_it,
-          a_part_has_another_key_under_another_salt)
+TEST_MAIN("prompt", part_key_depends_on_salt_and_id_only,
+          part_key_differs_by_salt)
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -11,11 +11,11 @@
                                       .model = "m",
                                       .weights = 1};
 
-/* Callers wait at few servers while a third of the fleet stands idle: a host
- * was told that a server loads weights, the platform's list told both it and
- * the host that gives the orders that the load was over, so nobody report so,
- * and the server stayed unused until the word expired. */
-START_TEST(a_server_that_has_loaded_is_used_at_once)
+/* Guards against a server that stays unused after its weights have loaded.
+ * Peers are notified of the start of a load; if the ordering host learns of
+ * its end from the platform's list, it notifies no peer, and only the entry
+ * in the list can end the wait before the notice expires. */
+START_TEST(server_is_used_once_listed_with_new_weights)
 {
     servers_t *servers = servers_new();
     server_entry_t entry = on_old;
@@ -30,10 +30,9 @@
 }
 END_TEST
 
-/* A host hears from a server too seldom to know that others have taken its
- * slots: what another host passes on of the server's word counts as well, and
- * counts no longer when it is old. */
-START_TEST(taken_slots_cost_time)
+/* A server's load report, which a peer may have passed on, adds to the wait
+ * until it expires; this host's own requests always do. */
+START_TEST(taken_slots_add_to_the_wait)
 {
     servers_t *servers = servers_new();
     server_entry_t entry = on_old;
@@ -56,8 +55,8 @@
 }
 END_TEST
 
-/* Only a server that is nearly full is news, and not with each answer. */
-START_TEST(a_crowded_server_is_told_now_and_then)
+/* Only a nearly full server is announced, and not with each answer. */
+START_TEST(nearly_full_server_is_announced_at_intervals)
 {
     servers_t *servers = servers_new();
     server_entry_t entry = on_old;
@@ -75,89 +74,89 @@
 }
 END_TEST
 
-/* ---- what callers get ---- */
+/* ---- simulated latency ---- */
 
-#define PLAY_SERVERS 6
-#define PLAY_SLOTS 4
-#define PLAY_HOLD_MS 500.0
-#define PLAY_PER_SECOND 30
-#define PLAY_SECONDS 60
-#define PLAY_TARGET_MS 400.0
-#define PLAY_SHARED_TOKENS 200
+#define SIM_SERVERS 6
+#define SIM_SLOTS 4
+#define SIM_HOLD_MS 500.0
+#define SIM_PER_SECOND 30
+#define SIM_SECONDS 60
+#define SIM_TARGET_MS 400.0
+#define SIM_SHARED_TOKENS 200
 
 typedef struct {
     server_t *server;
-    double free_ms[PLAY_SLOTS]; /* when each slot is free */
-} play_server_t;
+    double free_ms[SIM_SLOTS]; /* time when each slot becomes free */
+} sim_server_t;
 
-/* Take the slot that is free first; how long the request waits for it. */
+/* Takes the slot that is free first and returns the wait for it. */
 static double
-play_take(play_server_t *one, double now)
+sim_take_slot(sim_server_t *sim, double now)
 {
     int first = 0;
-    for (int i = 1; i < PLAY_SLOTS; i++) {
-        first = one->free_ms[i] < one->free_ms[first] ? i : first;
+    for (int i = 1; i < SIM_SLOTS; i++) {
+        first = sim->free_ms[i] < sim->free_ms[first] ? i : first;
     }
-    double begin = one->free_ms[first] > now ? one->free_ms[first] : now;
-    one->free_ms[first] = begin + PLAY_HOLD_MS;
+    double begin = sim->free_ms[first] > now ? sim->free_ms[first] : now;
+    sim->free_ms[first] = begin + SIM_HOLD_MS;
     return begin - now;
 }
 
-/* Servers say what they have, as with an answer. */
+/* Sets the server's load report, as an answer would. */
 static void
-play_say(play_server_t *one, double now)
+sim_report(sim_server_t *sim, double now)
 {
     int taken = 0;
-    for (int i = 0; i < PLAY_SLOTS; i++) {
-        double left = one->free_ms[i] - now;
-        taken += left > 0 ? (int)(left / PLAY_HOLD_MS) + 1 : 0;
+    for (int i = 0; i < SIM_SLOTS; i++) {
+        double left = sim->free_ms[i] - now;
+        taken += left > 0 ? (int)(left / SIM_HOLD_MS) + 1 : 0;
     }
-    server_set_load(one->server, taken, 0, (int64_t)now);
+    server_set_load(sim->server, taken, 0, (int64_t)now);
 }
 
-/* The load: short prompts that all share one part, so that all have the same
- * home, whose few slots are taken by answers that are being made while other
- * servers stand idle.  Callers must get their first token in time. */
-START_TEST(a_hot_part_does_not_queue_at_its_home)
+/* Guards against requests that queue at their home server while others are
+ * idle: short prompts that all share one part have the same home, whose few
+ * slots are taken by running answers. */
+START_TEST(hot_part_does_not_queue_at_its_home)
 {
     servers_t *servers = servers_new();
-    play_server_t all[PLAY_SERVERS] = {0};
+    sim_server_t all[SIM_SERVERS] = {0};
     int in_time = 0;
-    int asked = PLAY_PER_SECOND * PLAY_SECONDS;
-    for (int i = 0; i < PLAY_SERVERS; i++) {
+    int total = SIM_PER_SECOND * SIM_SECONDS;
+    for (int i = 0; i < SIM_SERVERS; i++) {
         server_entry_t entry = on_old;
         (void)snprintf(entry.id, sizeof(entry.id), "s%d", i);
-        entry.slots = PLAY_SLOTS;
+        entry.slots = SIM_SLOTS;
         all[i].server = servers_put(servers, &entry);
-        server_observe_slot_time(all[i].server, PLAY_HOLD_MS);
+        server_observe_slot_time(all[i].server, SIM_HOLD_MS);
     }
-    for (int n = 0; n < asked; n++) {
-        double now = 1000 + n * 1000.0 / PLAY_PER_SECOND;
-        candidate_t candidates[PLAY_SERVERS] = {0};
-        prefix_t shared = {.tokens = PLAY_SHARED_TOKENS};
-        for (int i = 0; i < PLAY_SERVERS; i++) {
-            play_say(&all[i], now);
+    for (int n = 0; n < total; n++) {
+        double now = 1000 + n * 1000.0 / SIM_PER_SECOND;
+        candidate_t candidates[SIM_SERVERS] = {0};
+        prefix_t shared = {.tokens = SIM_SHARED_TOKENS};
+        for (int i = 0; i < SIM_SERVERS; i++) {
+            sim_report(&all[i], now);
             candidates[i].wait_ms =
                 server_slot_wait_ms(all[i].server, (int64_t)now);
             candidates[i].rate = 48000;
-            candidates[i].cached = i == 0 ? PLAY_SHARED_TOKENS : 0;
+            candidates[i].cached = i == 0 ? SIM_SHARED_TOKENS : 0;
             candidates[i].rank = place_weight(7, all[i].server->info.id);
         }
         place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
         size_t best =
-            policy_find("cost")->choose(candidates, PLAY_SERVERS, &ask);
-        in_time += play_take(&all[best], now) <= PLAY_TARGET_MS ? 1 : 0;
+            policy_find("cost")->choose(candidates, SIM_SERVERS, &ask);
+        in_time += sim_take_slot(&all[best], now) <= SIM_TARGET_MS ? 1 : 0;
     }
-    printf("in time: %d of %d\n", in_time, asked);
-    ck_assert_int_ge(in_time * 100, asked * 95);
+    printf("in time: %d of %d\n", in_time, total);
+    ck_assert_int_ge(in_time * 100, total * 95);
     servers_free(servers);
 }
 END_TEST
 
-/* Callers wait half a second longer while servers are dark: others are told to
- * fetch from a dark one, which is believed to hold what it held, since nothing
- * pushes it out there.  A server is a source while somebody hears from it. */
-START_TEST(nobody_fetches_from_a_dark_server)
+/* Guards against fetches from an unreachable server, which cost half a second:
+ * its estimated cache contents stay, since no request evicts them.  A server
+ * is a source only while it answers some host. */
+START_TEST(unreachable_server_is_no_fetch_source)
 {
     servers_t *servers = servers_new();
     server_entry_t entry = on_old;
@@ -174,7 +173,8 @@
 }
 END_TEST
 
-TEST_MAIN("servers", a_server_that_has_loaded_is_used_at_once,
-          taken_slots_cost_time, a_crowded_server_is_told_now_and_then,
-          a_hot_part_does_not_queue_at_its_home,
-          nobody_fetches_from_a_dark_server)
+TEST_MAIN("servers", server_is_used_once_listed_with_new_weights,
+          taken_slots_add_to_the_wait,
+          nearly_full_server_is_announced_at_intervals,
+          hot_part_does_not_queue_at_its_home,
+          unreachable_server_is_no_fetch_source)
