--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -408,7 +408,7 @@
 /* Applies a new configuration to the kv stores and the capacities of all
  * caches. */
 void
-cache_set_capacities(relay_t *relay)
+cache_apply_config(relay_t *relay)
 {
     server_t *server;
     kv_stores_sync(&relay->stores, relay->config);
--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -37,7 +37,7 @@
                         const cached_part_t *part);
 void cache_clear(relay_t *relay, const server_t *server);
 void cache_set_capacity(const relay_t *relay, const server_t *server);
-void cache_set_capacities(relay_t *relay);
+void cache_apply_config(relay_t *relay);
 void cache_note_pending(relay_t *relay, const prefix_t *prefix,
                         uint16_t number);
 bool cache_holds_shared(const prefix_t *prefix, const server_t *server);
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -62,7 +62,7 @@
                (long long)config->version, (long long)config->revision);
     relay_config_release(relay->config);
     relay->config = config;
-    cache_set_capacities(relay);
+    cache_apply_config(relay);
     set_quotas(relay);
 }
 
