--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -108,7 +108,8 @@
 
 /* Returns whether source a, listed after b, is preferred to it: a server to a
  * kv store, then the same data centre to another one.  Between equals a wins:
- * it was usually noted later, so its copy is the less likely to be evicted. */
+ * it was usually noted later, so its copy is less likely to have been evicted.
+ */
 static bool
 is_better(const cache_source_t *a, const cache_source_t *b)
 {
@@ -293,7 +294,7 @@
 }
 
 /* Records that a server or kv store has used or stored the shared parts of a
- * prompt, and notifies peers of those that were not known to be there.  The
+ * prompt, and notifies peers of those that were not recorded recently.  The
  * first part is evicted last, so it is recorded last. */
 void
 cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number)
@@ -384,8 +385,8 @@
     }
 }
 
-/* Clears the estimated cache contents of a server that restarted or changed
- * weights. */
+/* Clears the estimated cache contents of a server that restarted, changed
+ * weights or was removed. */
 void
 cache_clear(relay_t *relay, const server_t *server)
 {
--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -20,9 +20,8 @@
 } cache_source_t;
 
 typedef struct {
-    uint32_t
-        held_tokens; /* tokens that the server itself is believed to hold */
-    uint32_t shared_tokens; /* tokens that are not the request's own */
+    uint32_t held_tokens;   /* held or being prefilled by the server */
+    uint32_t shared_tokens; /* in the prompt's shared parts */
     bool found;             /* another holder has more of the prompt */
     cache_source_t source;  /* valid if found */
 } cache_view_t;
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -78,7 +78,7 @@
 
 #define SIM_SERVERS 6
 #define SIM_SLOTS 4
-#define SIM_HOLD_MS 500.0
+#define SIM_SLOT_TIME_MS 500.0
 #define SIM_PER_SECOND 30
 #define SIM_SECONDS 60
 #define SIM_TARGET_MS 400.0
@@ -98,7 +98,7 @@
         first = sim->free_ms[i] < sim->free_ms[first] ? i : first;
     }
     double begin = sim->free_ms[first] > now ? sim->free_ms[first] : now;
-    sim->free_ms[first] = begin + SIM_HOLD_MS;
+    sim->free_ms[first] = begin + SIM_SLOT_TIME_MS;
     return begin - now;
 }
 
@@ -109,7 +109,7 @@
     int taken = 0;
     for (int i = 0; i < SIM_SLOTS; i++) {
         double left = sim->free_ms[i] - now;
-        taken += left > 0 ? (int)(left / SIM_HOLD_MS) + 1 : 0;
+        taken += left > 0 ? (int)(left / SIM_SLOT_TIME_MS) + 1 : 0;
     }
     server_set_load(sim->server, taken, 0, (int64_t)now);
 }
@@ -128,7 +128,7 @@
         (void)snprintf(entry.id, sizeof(entry.id), "s%d", i);
         entry.slots = SIM_SLOTS;
         all[i].server = servers_put(servers, &entry);
-        server_observe_slot_time(all[i].server, SIM_HOLD_MS);
+        server_observe_slot_time(all[i].server, SIM_SLOT_TIME_MS);
     }
     for (int n = 0; n < total; n++) {
         double now = 1000 + n * 1000.0 / SIM_PER_SECOND;
