--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -176,7 +176,7 @@
 static void
 share_holder(cache_follows_t *follows, const char *holder, const char *addr)
 {
-    if (!peers_duty(follows->relay->peers, holder)) {
+    if (!peers_has_duty(follows->relay->peers, holder)) {
         return;
     }
     follow_t *follow = follow_find(follows, holder);
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -450,7 +450,7 @@
             told ? (double)to->link_bits_per_ms /
                        ((double)from->token_bytes * BITS_PER_BYTE)
                  : 0,
-        .hosts = peers_live(relay->peers),
+        .hosts = peers_live_count(relay->peers),
         .same_dc = strcmp(to->dc, server->info.dc) == 0,
         .shared = total - (kept > 0 ? prefix->levels[kept - 1].tokens : 0),
         .own = prefix->tokens - total};
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -70,14 +70,14 @@
 on_config_list(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_list(relay->objects, KIND_CONFIG);
+    object_cache_list_begin(relay->objects, KIND_CONFIG);
 }
 
 static void
 on_config_listed(void *arg, int64_t at)
 {
     relay_t *relay = arg;
-    object_cache_listed(relay->objects, KIND_CONFIG, at);
+    object_cache_list_end(relay->objects, KIND_CONFIG, at);
 }
 
 static void
@@ -92,7 +92,7 @@
 other_daemon(void *arg, char addr[CS_ADDR_MAX])
 {
     relay_t *relay = arg;
-    return relay->peers != NULL && peers_any(relay->peers, addr);
+    return relay->peers != NULL && peers_next_http_addr(relay->peers, addr);
 }
 
 /* The daemon that watches the store for this one too. */
@@ -101,14 +101,14 @@
 {
     relay_t *relay = arg;
     return relay->peers != NULL && relay->stopping_ms == 0 &&
-           peers_upstream(relay->peers, addr);
+           peers_find_upstream(relay->peers, addr);
 }
 
 static void
 upstream_lost(void *arg, const char *addr, bool answered)
 {
     relay_t *relay = arg;
-    peers_upstream_lost(relay->peers, addr, answered);
+    peers_avoid_upstream(relay->peers, addr, answered);
 }
 
 /* ---- servers ---- */
@@ -127,7 +127,7 @@
 static bool
 store_recovering(const relay_t *relay, int64_t now)
 {
-    int64_t back = watch_back_ms(relay->servers_watch);
+    int64_t back = watch_recovered_ms(relay->servers_watch);
     return back != 0 && now - back < RETURN_MS;
 }
 
@@ -151,7 +151,7 @@
 {
     relay_t *relay = arg;
     relay->servers->lists++;
-    object_cache_list(relay->objects, KIND_SERVERS);
+    object_cache_list_begin(relay->objects, KIND_SERVERS);
 }
 
 static void
@@ -239,7 +239,7 @@
     relay_t *relay = arg;
     server_t *server;
     relay->servers_listed = true;
-    object_cache_listed(relay->objects, KIND_SERVERS, at);
+    object_cache_list_end(relay->objects, KIND_SERVERS, at);
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         /* A list that is older than the entry says nothing of it. */
         if (!server->gone && server->seen != relay->servers->lists &&
@@ -272,7 +272,7 @@
 on_weights_list(void *arg)
 {
     relay_t *relay = arg;
-    object_cache_list(relay->objects, KIND_WEIGHTS);
+    object_cache_list_begin(relay->objects, KIND_WEIGHTS);
 }
 
 static void
@@ -280,7 +280,7 @@
 {
     relay_t *relay = arg;
     relay->weights_listed = true;
-    object_cache_listed(relay->objects, KIND_WEIGHTS, at);
+    object_cache_list_end(relay->objects, KIND_WEIGHTS, at);
 }
 
 static void
@@ -296,25 +296,25 @@
 discovery_start(relay_t *relay)
 {
     const char *store = relay->settings.store;
-    const watch_hooks_t shared = {.other = other_daemon,
-                                  .upstream = upstream_daemon,
-                                  .upstream_lost = upstream_lost,
+    const watch_hooks_t shared = {.find_peer = other_daemon,
+                                  .find_upstream = upstream_daemon,
+                                  .on_upstream_lost = upstream_lost,
                                   .arg = relay};
     watch_hooks_t config = shared;
-    config.on_list = on_config_list;
+    config.on_list_begin = on_config_list;
     config.on_object = on_config;
-    config.on_listed = on_config_listed;
-    config.on_settled = on_config_settled;
+    config.on_list_end = on_config_listed;
+    config.on_update = on_config_settled;
     watch_hooks_t servers = shared;
-    servers.on_list = on_server_list;
+    servers.on_list_begin = on_server_list;
     servers.on_object = on_server;
-    servers.on_listed = on_servers_listed;
-    servers.on_settled = on_servers_settled;
+    servers.on_list_end = on_servers_listed;
+    servers.on_update = on_servers_settled;
     watch_hooks_t weights = shared;
-    weights.on_list = on_weights_list;
+    weights.on_list_begin = on_weights_list;
     weights.on_object = on_weights;
-    weights.on_listed = on_weights_listed;
-    weights.on_settled = on_weights_settled;
+    weights.on_list_end = on_weights_listed;
+    weights.on_update = on_weights_settled;
     relay->objects = object_cache_new(relay);
     relay->config_watch = watch_start(relay->base, relay->exchanges, store,
                                       KIND_CONFIG, &config);
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -102,7 +102,7 @@
 
 /* A whole list comes in. */
 void
-object_cache_list(object_cache_t *cache, kind_t kind)
+object_cache_list_begin(object_cache_t *cache, kind_t kind)
 {
     object_cache_kind_t *own = &cache->kinds[kind];
     json_decref(own->listing);
@@ -130,7 +130,7 @@
 /* It is complete: what was not on it is gone, and what changed on the way to
  * it is not known one by one. */
 void
-object_cache_listed(object_cache_t *cache, kind_t kind, int64_t at)
+object_cache_list_end(object_cache_t *cache, kind_t kind, int64_t at)
 {
     object_cache_kind_t *own = &cache->kinds[kind];
     if (own->listing == NULL) {
@@ -191,7 +191,7 @@
     const object_cache_kind_t *own = &cache->kinds[kind];
     const watch_t *watch = watch_of(cache, kind);
     *page = NULL;
-    if (!watch_fresh(watch) || cache->relay->stopping_ms != 0) {
+    if (!watch_is_fresh(watch) || cache->relay->stopping_ms != 0) {
         return 503;
     }
     if (from < own->since) {
@@ -202,7 +202,7 @@
         json_decref(changes);
         return 0;
     }
-    *page = platform_changes(changes, watch_at(watch));
+    *page = platform_changes(changes, watch_revision(watch));
     return 200;
 }
 
@@ -287,18 +287,18 @@
         return false;
     }
     if (query.kind >= KINDS_CACHED ||
-        !watch_listed(watch_of(cache, query.kind))) {
+        !watch_has_list(watch_of(cache, query.kind))) {
         answer(caller, 404, NULL);
         return true;
     }
     watch_t *watch = watch_of(cache, query.kind);
     if (!query.watches) {
-        answer(
-            caller, 200,
-            platform_page(cache->kinds[query.kind].objects, watch_at(watch)));
+        answer(caller, 200,
+               platform_page(cache->kinds[query.kind].objects,
+                             watch_revision(watch)));
         return true;
     }
-    watch_serves(watch);
+    watch_note_follower(watch);
     json_t *page;
     int status =
         look(cache, query.kind, query.from, query.wait_ms <= 0, &page);
--- a/relay/peer-discovery.c
+++ b/relay/peer-discovery.c
@@ -40,26 +40,26 @@
         return;
     }
     switch (look->step) {
-        case LOOK_WRITE:
+        case DISCOVERY_CREATE:
             if (result->status == 409) {
-                look->step = LOOK_REPLACE;
+                look->step = DISCOVERY_REPLACE;
                 look_call(look);
             }
             /* fallthrough */
-        case LOOK_REPLACE:
+        case DISCOVERY_REPLACE:
             if (result->status == 200 || result->status == 201) {
-                look->step = LOOK_LIST;
+                look->step = DISCOVERY_LIST;
                 look_call(look);
             }
             return;
-        case LOOK_LIST:
+        case DISCOVERY_LIST:
             if (result->status == 200) {
                 take_list(look, result);
-                look->step = LOOK_DONE;
+                look->step = DISCOVERY_DONE;
                 look->next_ms = now + LOOK_ALONE_MS;
             }
             return;
-        case LOOK_DONE:
+        case DISCOVERY_DONE:
             return;
     }
 }
@@ -71,16 +71,16 @@
     CLEAN_BUF buf_t head = {0};
     CLEAN_JSON json_t *spec = platform_peer_spec(settings->peer);
     switch (look->step) {
-        case LOOK_WRITE:
+        case DISCOVERY_CREATE:
             platform_create_call(&head, settings->store, KIND_PEERS,
                                  settings->name, spec);
             break;
-        case LOOK_REPLACE:
+        case DISCOVERY_REPLACE:
             platform_replace_call(&head, settings->store, KIND_PEERS,
                                   settings->name, 0, spec);
             break;
-        case LOOK_LIST:
-        case LOOK_DONE:
+        case DISCOVERY_LIST:
+        case DISCOVERY_DONE:
             platform_list_call(&head, settings->store, KIND_PEERS, "");
             break;
     }
@@ -100,12 +100,12 @@
     if (look->fetch != NULL || now < look->next_ms) {
         return;
     }
-    if (look->step == LOOK_DONE) {
+    if (look->step == DISCOVERY_DONE) {
         if (members_live(look->members) > 1) {
             look->next_ms = now + LOOK_ALONE_MS;
             return;
         }
-        look->step = LOOK_LIST;
+        look->step = DISCOVERY_LIST;
     }
     look_call(look);
 }
--- a/relay/peer-discovery.h
+++ b/relay/peer-discovery.h
@@ -8,7 +8,12 @@
 #include "../kernel/tables.h"
 #include "../kernel/fetch.h"
 
-typedef enum { LOOK_WRITE, LOOK_REPLACE, LOOK_LIST, LOOK_DONE } look_step_t;
+typedef enum {
+    DISCOVERY_CREATE,
+    DISCOVERY_REPLACE,
+    DISCOVERY_LIST,
+    DISCOVERY_DONE
+} discovery_step_t;
 
 typedef struct {
     const settings_t *settings;
@@ -17,7 +22,7 @@
     /* Another daemon is listed at this address. */
     void (*on_listed)(void *arg, const char *addr);
     void *arg;
-    look_step_t step;
+    discovery_step_t step;
     int64_t next_ms;
     fetch_t *fetch;
 } peer_discovery_t;
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -1,6 +1,6 @@
 #include "peer-loads.h"
 #include "peers-apply.h"
-#include "peers-table.h"
+#include "peers-internal.h"
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 /* An address in text, as IPV4:PORT; 0 if it is one. */
 int
-peers_addr_of(const char *text, struct sockaddr_in *out)
+peers_parse_addr(const char *text, struct sockaddr_in *out)
 {
     int len = (int)sizeof(*out);
     return evutil_parse_sockaddr_port(text, (struct sockaddr *)out, &len);
@@ -36,21 +36,21 @@
     unsigned char data[PEER_DATAGRAM_MAX];
     size_t len = peer_encode(datagram, peers->secret, data);
     struct sockaddr_in to;
-    if (len > 0 && peers_addr_of(addr, &to) == 0) {
+    if (len > 0 && peers_parse_addr(addr, &to) == 0) {
         peers_send_bytes(peers, &to, data, len);
     }
 }
 
 /* A daemon as one number. */
 uint64_t
-peers_host_of(const struct sockaddr_in *addr)
+peers_host_id(const struct sockaddr_in *addr)
 {
     return (uint64_t)addr->sin_addr.s_addr << 16 | addr->sin_port;
 }
 
 /* The address of a daemon that is named by a number. */
 struct sockaddr_in
-peers_addr_of_host(uint64_t host)
+peers_addr_from_host_id(uint64_t host)
 {
     return (struct sockaddr_in){.sin_family = AF_INET,
                                 .sin_port = (in_port_t)host,
@@ -61,17 +61,17 @@
 void
 peers_send_members(peers_t *peers)
 {
-    peer_datagram_t *datagram = &peers->taken;
-    for (size_t i = 0; i < peers->out.count; i++) {
+    peer_datagram_t *datagram = &peers->scratch;
+    for (size_t i = 0; i < peers->member_messages.count; i++) {
         datagram->kind = PEER_MEMBERS;
-        datagram->members = peers->out.messages[i];
-        peers_send(peers, peers->out.addrs[i], datagram);
+        datagram->members = peers->member_messages.messages[i];
+        peers_send(peers, peers->member_messages.addrs[i], datagram);
     }
 }
 
 /* That a holder has a part. */
 peer_fact_t
-peers_held_fact(const char *holder, const cached_part_t *part)
+peers_make_held_fact(const char *holder, const cached_part_t *part)
 {
     peer_fact_t fact = {.key = part->key,
                         .tokens = part->prompt_tokens,
@@ -89,12 +89,12 @@
 {
     cached_part_t parts[SNAPSHOT_PARTS_MAX];
     size_t count = cached_parts_list(held, parts, SNAPSHOT_PARTS_MAX);
-    peer_datagram_t *datagram = &peers->taken;
+    peer_datagram_t *datagram = &peers->scratch;
     memset(datagram, 0, sizeof(*datagram));
     datagram->kind = PEER_FACTS;
     for (size_t i = count; i > 0; i--) {
         peer_fact_t *fact = &datagram->facts[datagram->fact_count++];
-        *fact = peers_held_fact(holder, &parts[i - 1]);
+        *fact = peers_make_held_fact(holder, &parts[i - 1]);
         if (datagram->fact_count == PEER_FACTS_MAX || i == 1) {
             peers_send(peers, addr, datagram);
             datagram->fact_count = 0;
@@ -133,8 +133,8 @@
 static void
 apply_facts(peers_t *peers, const struct sockaddr_in *from)
 {
-    const peer_datagram_t *datagram = &peers->taken;
-    uint64_t host = peers_host_of(from);
+    const peer_datagram_t *datagram = &peers->scratch;
+    uint64_t host = peers_host_id(from);
     if (datagram->fact_count == 0) {
         send_all(peers, from);
         return;
@@ -148,13 +148,13 @@
 apply_datagram(peers_t *peers, const struct sockaddr_in *from)
 {
     relay_t *relay = peers->relay;
-    const peer_datagram_t *datagram = &peers->taken;
-    uint64_t host = peers_host_of(from);
+    const peer_datagram_t *datagram = &peers->scratch;
+    uint64_t host = peers_host_id(from);
     int64_t now = time_mono_ms();
     switch (datagram->kind) {
         case PEER_MEMBERS:
             members_receive(peers->members, &datagram->members, now,
-                            &peers->out);
+                            &peers->member_messages);
             peers_send_members(peers);
             return;
         case PEER_FACTS:
@@ -181,7 +181,7 @@
     (void)what;
     while ((len = recvfrom(fd, data, sizeof(data), MSG_DONTWAIT,
                            (struct sockaddr *)&from, &from_len)) > 0) {
-        if (peer_decode(&peers->taken, peers->secret, data, (size_t)len) !=
+        if (peer_decode(&peers->scratch, peers->secret, data, (size_t)len) !=
             0) {
             log_warn("peers", "A datagram cannot be read.");
             continue;
--- a/relay/peers-duty.c
+++ b/relay/peers-duty.c
@@ -1,4 +1,4 @@
-#include "peers-table.h"
+#include "peers-internal.h"
 
 #include <string.h>
 
@@ -6,14 +6,14 @@
 
 /* Daemons that are alive, this one included. */
 size_t
-peers_live(const peers_t *peers)
+peers_live_count(const peers_t *peers)
 {
     return members_live(peers->members);
 }
 
 /* Whether a duty falls to this daemon: see members_duty. */
 bool
-peers_duty(const peers_t *peers, const char *duty)
+peers_has_duty(const peers_t *peers, const char *duty)
 {
     return members_duty(peers->members, duty);
 }
@@ -28,16 +28,16 @@
 /* The address at which a live daemon serves its objects, in turn; false if
  * there is none. */
 bool
-peers_any(peers_t *peers, char addr[CS_ADDR_MAX])
+peers_next_http_addr(peers_t *peers, char addr[CS_ADDR_MAX])
 {
     member_t live[PEERS_DIRECT_MAX + 1];
     size_t count = members_list(peers->members, live, PEERS_DIRECT_MAX + 1);
     for (size_t i = 0; i < count; i++) {
-        const member_t *member = &live[(peers->turn + i) % count];
+        const member_t *member = &live[(peers->http_rotation + i) % count];
         if (member->health == MEMBER_ALIVE &&
             strcmp(member->name, peers->relay->settings.name) != 0) {
             str_copy(addr, CS_ADDR_MAX, member->http);
-            peers->turn += i + 1;
+            peers->http_rotation += i + 1;
             return true;
         }
     }
@@ -47,7 +47,7 @@
 static size_t
 watchers(const peers_t *peers, member_t owners[WATCHERS_MAX])
 {
-    size_t want = watch_duty_count(peers_live(peers));
+    size_t want = watch_duty_count(peers_live_count(peers));
     return want == 0 ? 0
                      : members_duty_owners(peers->members, "store-watch",
                                            owners, want);
@@ -56,14 +56,14 @@
 /* Whether this daemon follows another one's watches of the store, and which:
  * see watch_duty_choose. */
 bool
-peers_upstream(peers_t *peers, char addr[CS_ADDR_MAX])
+peers_find_upstream(peers_t *peers, char addr[CS_ADDR_MAX])
 {
     member_t owners[WATCHERS_MAX];
     const settings_t *settings = &peers->relay->settings;
     size_t count = watchers(peers, owners);
     const member_t *owner =
         watch_duty_choose(owners, count, settings->name, settings->dc,
-                          &peers->avoided, time_mono_ms());
+                          &peers->avoided_watchers, time_mono_ms());
     if (owner == NULL) {
         return false;
     }
@@ -75,13 +75,14 @@
  * has lost the store, and another may have it; one that is silent may be cut
  * off as this daemon is, and waiting for the next would take too long. */
 void
-peers_upstream_lost(peers_t *peers, const char *addr, bool answered)
+peers_avoid_upstream(peers_t *peers, const char *addr, bool answered)
 {
     member_t owners[WATCHERS_MAX];
     size_t count = watchers(peers, owners);
     for (size_t i = 0; i < count; i++) {
         if (!answered || strcmp(owners[i].http, addr) == 0) {
-            watch_duty_avoid(&peers->avoided, owners[i].name, time_mono_ms());
+            watch_duty_avoid(&peers->avoided_watchers, owners[i].name,
+                             time_mono_ms());
         }
     }
 }
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -1,5 +1,5 @@
 #include "peer-loads.h"
-#include "peers-table.h"
+#include "peers-internal.h"
 
 #include <string.h>
 
@@ -21,7 +21,7 @@
         struct sockaddr_in to;
         if (live[i].health != MEMBER_DEAD &&
             strcmp(live[i].name, peers->relay->settings.name) != 0 &&
-            peers_addr_of(live[i].peer, &to) == 0) {
+            peers_parse_addr(live[i].peer, &to) == 0) {
             peers_send_bytes(peers, &to, data, len);
         }
     }
@@ -55,7 +55,7 @@
                   const cached_part_t *part, bool held)
 {
     peer_fact_t *fact = fact_add(peers);
-    *fact = peers_held_fact(holder, part);
+    *fact = peers_make_held_fact(holder, part);
     fact->held = held;
 }
 
@@ -75,7 +75,7 @@
 /* Notifies peers of a crowded server's reported load: each host gets too few
  * of its answers to know that others have taken its slots. */
 void
-peers_notify_crowded(peers_t *peers, const server_t *server)
+peers_notify_reported_load(peers_t *peers, const server_t *server)
 {
     load_add(peers, server)->load.at_server =
         server->load_running + server->load_waiting;
@@ -85,26 +85,26 @@
 
 /* A daemon at an address may spend of the workspaces' limits. */
 void
-peers_note_spender(void *arg, const char *addr)
+peers_note_quota_host(void *arg, const char *addr)
 {
     peers_t *peers = arg;
     struct sockaddr_in at;
-    if (peers_addr_of(addr, &at) == 0 &&
+    if (peers_parse_addr(addr, &at) == 0 &&
         strcmp(addr, peers->relay->settings.peer) != 0) {
-        quotas_host_known(&peers->relay->quotas, peers_host_of(&at),
+        quotas_host_known(&peers->relay->quotas, peers_host_id(&at),
                           time_mono_ms());
     }
 }
 
 /* All live members may spend of the workspaces' limits. */
 void
-peers_note_members(peers_t *peers)
+peers_note_quota_hosts(peers_t *peers)
 {
     member_t members[QUOTA_HOSTS_MAX];
     size_t count = members_list(peers->members, members, QUOTA_HOSTS_MAX);
     for (size_t i = 0; i < count; i++) {
         if (members[i].health != MEMBER_DEAD) {
-            peers_note_spender(peers, members[i].peer);
+            peers_note_quota_host(peers, members[i].peer);
         }
     }
 }
@@ -116,13 +116,14 @@
     quotas_t *quotas = &peers->relay->quotas;
     unsigned char data[PEER_DATAGRAM_MAX];
     quotas_tick(quotas, now);
-    if (!quotas_announce(quotas, &peers->taken, now)) {
+    if (!quotas_announce(quotas, &peers->scratch, now)) {
         return;
     }
-    size_t len = peer_encode(&peers->taken, peers->secret, data);
+    size_t len = peer_encode(&peers->scratch, peers->secret, data);
     for (size_t i = 0; i < QUOTA_HOSTS_MAX && len > 0; i++) {
         if (quotas->hosts[i].host != 0) {
-            struct sockaddr_in to = peers_addr_of_host(quotas->hosts[i].host);
+            struct sockaddr_in to =
+                peers_addr_from_host_id(quotas->hosts[i].host);
             peers_send_bytes(peers, &to, data, len);
         }
     }
@@ -132,21 +133,21 @@
 
 /* Requests the known facts from a few others, once they are found. */
 void
-peers_ask_all(peers_t *peers)
+peers_request_facts(peers_t *peers)
 {
     member_t live[PEERS_DIRECT_MAX + 1];
     size_t asked = 0;
     size_t count = members_list(peers->members, live, PEERS_DIRECT_MAX + 1);
-    memset(&peers->taken, 0, sizeof(peers->taken));
-    peers->taken.kind = PEER_FACTS;
+    memset(&peers->scratch, 0, sizeof(peers->scratch));
+    peers->scratch.kind = PEER_FACTS;
     for (size_t i = 0; i < count && asked < ASK_PEERS; i++) {
         if (live[i].health == MEMBER_ALIVE &&
             strcmp(live[i].name, peers->relay->settings.name) != 0) {
-            peers_send(peers, live[i].peer, &peers->taken);
+            peers_send(peers, live[i].peer, &peers->scratch);
             asked++;
         }
     }
-    peers->asked = asked > 0;
+    peers->facts_requested = asked > 0;
 }
 
 /* Announces this host's requests at servers: a server's load header does not
@@ -154,8 +155,8 @@
 void
 peers_notify_loads(peers_t *peers, int64_t now)
 {
-    if (peer_loads_collect(peers->relay->servers, &peers->taken, now)) {
-        send_direct(peers, &peers->taken);
+    if (peer_loads_collect(peers->relay->servers, &peers->scratch, now)) {
+        send_direct(peers, &peers->scratch);
     }
 }
 
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -1,4 +1,4 @@
-#include "peers-table.h"
+#include "peers-internal.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -20,8 +20,9 @@
 share_retries(peers_t *peers, int64_t now)
 {
     relay_t *relay = peers->relay;
-    double part = retry_hosts_part(&peers->hosts, peers_live(peers),
-                                   (size_t)relay->settings.hosts, now);
+    double part =
+        retry_hosts_part(&peers->retry_hosts, peers_live_count(peers),
+                         (size_t)relay->settings.hosts, now);
     relay->retries.slack = part * relay->settings.retry_slack;
 }
 
@@ -29,11 +30,11 @@
 on_loads(evutil_socket_t fd, short what, void *arg)
 {
     peers_t *peers = arg;
-    size_t steps = 1 + peers_live(peers) / LOADS_HOSTS;
+    size_t steps = 1 + peers_live_count(peers) / LOADS_HOSTS;
     (void)fd;
     (void)what;
-    if (++peers->load_steps >= steps) {
-        peers->load_steps = 0;
+    if (++peers->load_intervals >= steps) {
+        peers->load_intervals = 0;
         peers_notify_loads(peers, time_mono_ms());
     }
 }
@@ -44,22 +45,22 @@
 {
     int64_t now = time_mono_ms();
     const relay_t *relay = peers->relay;
-    peer_discovery_tick(&peers->look, now);
-    if (!peers->asked && peers->relay->servers_listed) {
-        peers_ask_all(peers);
+    peer_discovery_tick(&peers->discovery, now);
+    if (!peers->facts_requested && peers->relay->servers_listed) {
+        peers_request_facts(peers);
     }
     peers_flush_facts(peers);
     peers_announce_quotas(peers, now);
-    if (now < peers->next_beat_ms) {
+    if (now < peers->next_round_ms) {
         return;
     }
-    peers->next_beat_ms = now + members_interval_ms();
+    peers->next_round_ms = now + members_interval_ms();
     share_retries(peers, now);
-    peers_note_members(peers);
+    peers_note_quota_hosts(peers);
     members_tick(peers->members, now,
                  relay->config != NULL ? relay->config->revision : 0,
                  relay->stopping_ms != 0 ? MEMBER_LEAVING : MEMBER_LIVE,
-                 &peers->out);
+                 &peers->member_messages);
     peers_send_members(peers);
 }
 
@@ -71,7 +72,7 @@
     if (fd < 0) {
         return -1;
     }
-    if (peers_addr_of(addr, &at) != 0 ||
+    if (peers_parse_addr(addr, &at) != 0 ||
         bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
         (void)close(fd);
         return -1;
@@ -115,20 +116,21 @@
     peers_t *peers = mem_zalloc(sizeof(*peers));
     peers->relay = relay;
     peers->fd = fd;
-    retry_hosts_init(&peers->hosts, time_mono_ms());
+    retry_hosts_init(&peers->retry_hosts, time_mono_ms());
     peers->members = members_new(&self, rng_next(&relay->rng));
-    peers->readable = event_new(relay->base, fd, EV_READ | EV_PERSIST,
-                                peers_on_readable, peers);
-    (void)event_add(peers->readable, NULL);
+    peers->read_event = event_new(relay->base, fd, EV_READ | EV_PERSIST,
+                                  peers_on_readable, peers);
+    (void)event_add(peers->read_event, NULL);
     static const struct timeval loads_step = {0, LOADS_MS * 1000};
-    peers->loads = event_new(relay->base, -1, EV_PERSIST, on_loads, peers);
-    (void)event_add(peers->loads, &loads_step);
+    peers->load_timer =
+        event_new(relay->base, -1, EV_PERSIST, on_loads, peers);
+    (void)event_add(peers->load_timer, &loads_step);
     add_seeds(peers);
     relay->notify_part = peers_notify_part;
-    peers->look = (peer_discovery_t){.settings = &relay->settings,
-                                     .exchanges = relay->exchanges,
-                                     .members = peers->members,
-                                     .on_listed = peers_note_spender,
-                                     .arg = peers};
+    peers->discovery = (peer_discovery_t){.settings = &relay->settings,
+                                          .exchanges = relay->exchanges,
+                                          .members = peers->members,
+                                          .on_listed = peers_note_quota_host,
+                                          .arg = peers};
     return peers;
 }
--- a/relay/peers.h
+++ b/relay/peers.h
@@ -6,14 +6,14 @@
 #include "../kernel/peer-codec.h"
 #include "relay.h"
 
-void peers_notify_crowded(peers_t *peers, const server_t *server);
+void peers_notify_reported_load(peers_t *peers, const server_t *server);
 void peers_notify_weights(peers_t *peers, const server_t *server,
                           int64_t loading);
 size_t peers_duty_rank(const peers_t *peers, const char *duty);
-bool peers_duty(const peers_t *peers, const char *duty);
-size_t peers_live(const peers_t *peers);
-bool peers_upstream(peers_t *peers, char addr[CS_ADDR_MAX]);
-void peers_upstream_lost(peers_t *peers, const char *addr, bool answered);
-bool peers_any(peers_t *peers, char addr[CS_ADDR_MAX]);
+bool peers_has_duty(const peers_t *peers, const char *duty);
+size_t peers_live_count(const peers_t *peers);
+bool peers_find_upstream(peers_t *peers, char addr[CS_ADDR_MAX]);
+void peers_avoid_upstream(peers_t *peers, const char *addr, bool answered);
+bool peers_next_http_addr(peers_t *peers, char addr[CS_ADDR_MAX]);
 
 #endif
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -85,16 +85,16 @@
     meter_gauge(out, "config_version",
                 relay->config != NULL ? (double)relay->config->version : 0);
     meter_gauge(out, "config_heard_ms_ago",
-                (double)(now - watch_heard_ms(relay->config_watch)));
+                (double)(now - watch_answered_ms(relay->config_watch)));
     meter_gauge(out, "servers_heard_ms_ago",
-                (double)(now - watch_heard_ms(relay->servers_watch)));
+                (double)(now - watch_answered_ms(relay->servers_watch)));
     meter_gauge(out, "store_calls_total",
                 (double)(watch_calls(relay->config_watch) +
                          watch_calls(relay->servers_watch) +
                          watch_calls(relay->weights_watch)));
     meter_gauge(out, "forecast_error_ms", relay->forecast.error_ms);
     meter_gauge(out, "forecast_spread_ms", relay->forecast.spread_ms);
-    meter_gauge(out, "daemons", (double)peers_live(relay->peers));
+    meter_gauge(out, "daemons", (double)peers_live_count(relay->peers));
     meter_gauge(out, "cache_levels", (double)cache_map_size(relay->cache));
     meter_gauge(out, "log_lines_left_out_total", (double)log_left_out_total());
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -213,7 +213,7 @@
         int64_t now = time_mono_ms();
         server_load(server, running, waiting, now);
         if (server->info.engine && server_crowded_news(server, now)) {
-            peers_notify_crowded(relay->peers, server);
+            peers_notify_reported_load(relay->peers, server);
         }
     }
 }
--- a/relay/watch-duty.c
+++ b/relay/watch-duty.c
@@ -46,8 +46,8 @@
 }
 
 bool
-watch_duty_avoids(const watch_avoided_t *avoided, const char *name,
-                  int64_t now_ms)
+watch_duty_is_avoided(const watch_avoided_t *avoided, const char *name,
+                      int64_t now_ms)
 {
     for (size_t i = 0; i < WATCHERS_MAX; i++) {
         if (now_ms < avoided->all[i].until_ms &&
@@ -75,7 +75,7 @@
         if (strcmp(owner->name, self) == 0) {
             return NULL;
         }
-        if (watch_duty_avoids(avoided, owner->name, now_ms)) {
+        if (watch_duty_is_avoided(avoided, owner->name, now_ms)) {
             continue;
         }
         if (best == NULL || (near && !best_near) ||
--- a/relay/watch-duty.h
+++ b/relay/watch-duty.h
@@ -19,8 +19,8 @@
 
 void watch_duty_avoid(watch_avoided_t *avoided, const char *name,
                       int64_t now_ms);
-bool watch_duty_avoids(const watch_avoided_t *avoided, const char *name,
-                       int64_t now_ms);
+bool watch_duty_is_avoided(const watch_avoided_t *avoided, const char *name,
+                           int64_t now_ms);
 const member_t *watch_duty_choose(const member_t *owners, size_t count,
                                   const char *self, const char *dc,
                                   const watch_avoided_t *avoided,
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -122,7 +122,7 @@
     bool changed = watch->fresh != fresh;
     watch->fresh = fresh;
     if (changed || news) {
-        watch->hooks.on_settled(watch->hooks.arg);
+        watch->hooks.on_update(watch->hooks.arg);
     }
 }
 
@@ -182,8 +182,9 @@
     watch->failed = true;
     settle(watch, false, false);
     /* One that has just started itself knows nothing: ask the next. */
-    if (watch->others_asked < OTHERS_ASKED_MAX && watch->hooks.other != NULL &&
-        watch->hooks.other(watch->hooks.arg, other)) {
+    if (watch->others_asked < OTHERS_ASKED_MAX &&
+        watch->hooks.find_peer != NULL &&
+        watch->hooks.find_peer(watch->hooks.arg, other)) {
         watch->others_asked++;
         call_other(watch, other);
         return;
@@ -218,7 +219,7 @@
 {
     if (watch->after[0] == '\0') {
         watch->list_at = page->at;
-        watch->hooks.on_list(watch->hooks.arg);
+        watch->hooks.on_list_begin(watch->hooks.arg);
     }
     for (size_t i = 0; i < page->count; i++) {
         watch->hooks.on_object(watch->hooks.arg, &page->objects[i]);
@@ -231,7 +232,7 @@
     watch->at = watch->list_at;
     watch->state = WATCH_WATCHING;
     watch->listed = true;
-    watch->hooks.on_listed(watch->hooks.arg, watch->at);
+    watch->hooks.on_list_end(watch->hooks.arg, watch->at);
     log_record(LOG_INFO, "store", "listed", "kind=%s at=%lld",
                kind_name(watch->kind), (long long)watch->at);
 }
@@ -256,11 +257,11 @@
         call_later_behind_other(watch);
         return;
     }
-    watch->hooks.on_list(watch->hooks.arg);
+    watch->hooks.on_list_begin(watch->hooks.arg);
     for (size_t i = 0; i < page.count; i++) {
         watch->hooks.on_object(watch->hooks.arg, &page.objects[i]);
     }
-    watch->hooks.on_listed(watch->hooks.arg, page.at);
+    watch->hooks.on_list_end(watch->hooks.arg, page.at);
     if (!watch->listed || page.at > watch->at) {
         log_record(LOG_INFO, "store", "told-by-peer", "kind=%s at=%lld",
                    kind_name(watch->kind), (long long)page.at);
@@ -314,8 +315,8 @@
     log_record(LOG_INFO, "store", "unfollowed", "kind=%s status=%d at=%lld",
                kind_name(watch->kind), watch->status, (long long)watch->at);
     watch->alone_ms = time_mono_ms() + ALONE_MS;
-    watch->hooks.upstream_lost(watch->hooks.arg, watch->upstream,
-                               watch->status != 0);
+    watch->hooks.on_upstream_lost(watch->hooks.arg, watch->upstream,
+                                  watch->status != 0);
     if (watch->status == STATUS_GONE) {
         list_again(watch);
     }
@@ -361,7 +362,7 @@
     char *addr = watch->upstream;
     CLEAN_BUF buf_t head = {0};
     watch->follows = watch->state == WATCH_WATCHING && watch->listed &&
-                     watch->hooks.upstream(watch->hooks.arg, addr);
+                     watch->hooks.find_upstream(watch->hooks.arg, addr);
     if (!watch->follows) {
         return false;
     }
@@ -443,7 +444,7 @@
 }
 
 int64_t
-watch_heard_ms(const watch_t *watch)
+watch_answered_ms(const watch_t *watch)
 {
     return watch->heard_ms;
 }
@@ -451,13 +452,13 @@
 /* When the store answered again after it had not; 0 if it always did, and the
  * time now while it does not. */
 int64_t
-watch_back_ms(const watch_t *watch)
+watch_recovered_ms(const watch_t *watch)
 {
     return watch->failed ? time_mono_ms() : watch->back_ms;
 }
 
 bool
-watch_listed(const watch_t *watch)
+watch_has_list(const watch_t *watch)
 {
     return watch->listed;
 }
@@ -465,14 +466,14 @@
 /* Whether what is known is the store's own word, no older than an answer
  * takes. */
 bool
-watch_fresh(const watch_t *watch)
+watch_is_fresh(const watch_t *watch)
 {
     return watch->fresh;
 }
 
 /* Others follow this daemon: it checks its path to the store more often. */
 void
-watch_serves(watch_t *watch)
+watch_note_follower(watch_t *watch)
 {
     watch->serving_ms = time_mono_ms() + SERVING_MS;
 }
@@ -485,7 +486,7 @@
 
 /* The revision up to which the objects are known. */
 int64_t
-watch_at(const watch_t *watch)
+watch_revision(const watch_t *watch)
 {
     return watch->at;
 }
--- a/tests/test-object-cache.c
+++ b/tests/test-object-cache.c
@@ -29,10 +29,10 @@
     put(cache, "b", 20);
     put(cache, "c", 30);
     put(cache, "d", 5);
-    object_cache_list(cache, KIND_SERVERS);
+    object_cache_list_begin(cache, KIND_SERVERS);
     put(cache, "a", 10);
     put(cache, "b", 15);
-    object_cache_listed(cache, KIND_SERVERS, 25);
+    object_cache_list_end(cache, KIND_SERVERS, 25);
     ck_assert_int_eq(revision_of(cache, "a"), 10);
     ck_assert_int_eq(revision_of(cache, "b"), 20);
     ck_assert_int_eq(revision_of(cache, "c"), 30);
