--- a/relay/peer-discovery.c
+++ b/relay/peer-discovery.c
@@ -1,14 +1,14 @@
 #include "peer-discovery.h"
 #include "../platform/platform.h"
 
-#define STORE_CONNECT_MS 300
-#define STORE_CALL_MS 1000
-/* A daemon that knows no other looks at the store again this often, ms. */
-#define LOOK_ALONE_MS 5000
-#define LOOK_FAILED_MS 500
+#define STORE_CONNECT_TIMEOUT_MS 300
+#define STORE_TIMEOUT_MS 1000
+/* A daemon that knows no other lists the store again at this interval, ms. */
+#define RELIST_INTERVAL_MS 5000
+#define RETRY_DELAY_MS 500
 
 static void
-take_list(peer_discovery_t *look, const fetch_result_t *result)
+apply_list(peer_discovery_t *discovery, const fetch_result_t *result)
 {
     store_page_t page;
     err_t err = {0};
@@ -19,44 +19,44 @@
     }
     for (size_t i = 0; i < page.count; i++) {
         if (platform_peer_read(&page.objects[i], addr, sizeof(addr)) == 0) {
-            members_seed(look->members, addr);
-            look->on_listed(look->arg, addr);
+            members_seed(discovery->members, addr);
+            discovery->on_listed(discovery->arg, addr);
         }
     }
     log_record(LOG_INFO, "peers", "listed", "daemons=%zu", page.count);
     platform_page_free(&page);
 }
 
-static void look_call(peer_discovery_t *look);
+static void call_store(peer_discovery_t *discovery);
 
 static void
 on_done(void *arg, const fetch_result_t *result)
 {
-    peer_discovery_t *look = arg;
+    peer_discovery_t *discovery = arg;
     int64_t now = time_mono_ms();
-    look->fetch = NULL;
-    look->next_ms = now + LOOK_FAILED_MS;
+    discovery->fetch = NULL;
+    discovery->next_ms = now + RETRY_DELAY_MS;
     if (!result->whole) {
         return;
     }
-    switch (look->step) {
+    switch (discovery->step) {
         case DISCOVERY_CREATE:
             if (result->status == 409) {
-                look->step = DISCOVERY_REPLACE;
-                look_call(look);
+                discovery->step = DISCOVERY_REPLACE;
+                call_store(discovery);
             }
             /* fallthrough */
         case DISCOVERY_REPLACE:
             if (result->status == 200 || result->status == 201) {
-                look->step = DISCOVERY_LIST;
-                look_call(look);
+                discovery->step = DISCOVERY_LIST;
+                call_store(discovery);
             }
             return;
         case DISCOVERY_LIST:
             if (result->status == 200) {
-                take_list(look, result);
-                look->step = DISCOVERY_DONE;
-                look->next_ms = now + LOOK_ALONE_MS;
+                apply_list(discovery, result);
+                discovery->step = DISCOVERY_DONE;
+                discovery->next_ms = now + RELIST_INTERVAL_MS;
             }
             return;
         case DISCOVERY_DONE:
@@ -65,12 +65,12 @@
 }
 
 static void
-look_call(peer_discovery_t *look)
+call_store(peer_discovery_t *discovery)
 {
-    const settings_t *settings = look->settings;
+    const settings_t *settings = discovery->settings;
     CLEAN_BUF buf_t head = {0};
     CLEAN_JSON json_t *spec = platform_peer_spec(settings->peer);
-    switch (look->step) {
+    switch (discovery->step) {
         case DISCOVERY_CREATE:
             platform_create_call(&head, settings->store, KIND_PEERS,
                                  settings->name, spec);
@@ -86,26 +86,27 @@
     }
     fetch_ask_t ask = {.addr = settings->store,
                        .call = &head,
-                       .connect_ms = STORE_CONNECT_MS,
-                       .total_ms = STORE_CALL_MS,
+                       .connect_ms = STORE_CONNECT_TIMEOUT_MS,
+                       .total_ms = STORE_TIMEOUT_MS,
                        .on_done = on_done,
-                       .arg = look};
-    look->fetch = fetch_start(look->exchanges, &ask);
+                       .arg = discovery};
+    discovery->fetch = fetch_start(discovery->exchanges, &ask);
 }
 
-/* One step: write our own object, list all, and look again while alone. */
+/* Starts the next call, if it is due: write this daemon's object, list all,
+ * and list again while no other daemon is known. */
 void
-peer_discovery_tick(peer_discovery_t *look, int64_t now)
+peer_discovery_tick(peer_discovery_t *discovery, int64_t now)
 {
-    if (look->fetch != NULL || now < look->next_ms) {
+    if (discovery->fetch != NULL || now < discovery->next_ms) {
         return;
     }
-    if (look->step == DISCOVERY_DONE) {
-        if (members_live(look->members) > 1) {
-            look->next_ms = now + LOOK_ALONE_MS;
+    if (discovery->step == DISCOVERY_DONE) {
+        if (members_live(discovery->members) > 1) {
+            discovery->next_ms = now + RELIST_INTERVAL_MS;
             return;
         }
-        look->step = DISCOVERY_LIST;
+        discovery->step = DISCOVERY_LIST;
     }
-    look_call(look);
+    call_store(discovery);
 }
--- a/relay/peer-discovery.h
+++ b/relay/peer-discovery.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_PEER_DISCOVERY_H
 #define CELERYSPOOL_PEER_DISCOVERY_H
 
-/* How daemons find each other: each writes an object into the platform's store
- * that says where it listens, and lists the others'. */
+/* How daemons discover each other: each writes an object with its address into
+ * the platform's store, and lists the objects of the others. */
 
 #include "../kernel/settings.h"
 #include "../kernel/tables.h"
@@ -18,15 +18,15 @@
 typedef struct {
     const settings_t *settings;
     exchanges_t *exchanges;
-    members_t *members; /* what is found becomes a seed */
-    /* Another daemon is listed at this address. */
+    members_t *members; /* gets the listed addresses as seeds */
+    /* Called for each listed address, that of this daemon included. */
     void (*on_listed)(void *arg, const char *addr);
     void *arg;
     discovery_step_t step;
-    int64_t next_ms;
+    int64_t next_ms; /* no call before this time */
     fetch_t *fetch;
 } peer_discovery_t;
 
-void peer_discovery_tick(peer_discovery_t *look, int64_t now);
+void peer_discovery_tick(peer_discovery_t *discovery, int64_t now);
 
 #endif
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -3,21 +3,20 @@
 
 #include <stdlib.h>
 
-/* A server that peers report as loading is left alone for this long, ms: a
- * load and the runs before it. Its end is announced; this bounds a lost
- * datagram.
- */
-#define LOADING_MS 2500
+/* A server that a peer reports as loading weights gets no requests for this
+ * long, ms: its running requests end first, then it loads. The end of the load
+ * is announced too; the timeout covers the loss of that datagram. */
+#define LOADING_TIMEOUT_MS 2500
 
 static void
-take_weights(relay_t *relay, server_t *server, const load_report_t *load)
+apply_weights(relay_t *relay, server_t *server, const load_report_t *load)
 {
     if (load->version[0] == '\0') {
-        return; /* it is about the sender's requests alone */
+        return; /* the report does not include weights */
     }
     int64_t weights = strtoll(load->version, NULL, 10);
     server->loading_ms =
-        load->loading[0] != '\0' ? time_mono_ms() + LOADING_MS : 0;
+        load->loading[0] != '\0' ? time_mono_ms() + LOADING_TIMEOUT_MS : 0;
     if (weights > server->info.weights) {
         server->info.weights = weights;
         cache_forget(relay, server);
@@ -25,7 +24,7 @@
 }
 
 static void
-take_load(relay_t *relay, uint64_t host, const peer_fact_t *fact)
+apply_load(relay_t *relay, uint64_t host, const peer_fact_t *fact)
 {
     server_t *server = servers_find(relay->servers, fact->backend);
     if (server == NULL) {
@@ -36,19 +35,19 @@
                                  .unread = fact->load.waiting_tokens,
                                  .running = fact->load.running,
                                  .filled = fact->load.filled};
-    take_weights(relay, server, &fact->load);
+    apply_weights(relay, server, &fact->load);
     server_peer_load(server, &report);
     if (fact->load.at_server >= 0) {
         server_load(server, fact->load.at_server, 0, time_mono_ms());
     }
 }
 
-/* Applies a fact that another daemon, named by its address, sent. */
+/* Applies a fact from another daemon; host identifies its address. */
 void
 peers_apply(relay_t *relay, uint64_t host, const peer_fact_t *fact)
 {
     if (fact->is_load) {
-        take_load(relay, host, fact);
+        apply_load(relay, host, fact);
         return;
     }
     const cached_part_t part = {fact->key, fact->tokens, fact->part};
--- a/relay/peers-apply.h
+++ b/relay/peers-apply.h
@@ -1,7 +1,7 @@
 #ifndef CELERYSPOOL_PEERS_APPLY_H
 #define CELERYSPOOL_PEERS_APPLY_H
 
-/* Applies other daemons' facts to what is known of servers. */
+/* Applies the facts that other daemons send about servers. */
 
 #include "../kernel/peer-codec.h"
 #include "relay.h"
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -5,13 +5,13 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-/* The datagrams between daemons: how they leave and what is done with those
- * that come. */
+/* Sends, receives and dispatches the datagrams between daemons. */
 
-/* Parts of one server that are sent to a daemon that starts, at most. */
+/* At most this many parts per server or kv store are sent to a daemon that
+ * starts. */
 #define SNAPSHOT_PARTS_MAX 256
 
-/* An address in text, as IPV4:PORT; 0 if it is one. */
+/* Parses an address as IPV4:PORT; 0 if it is valid. */
 int
 peers_parse_addr(const char *text, struct sockaddr_in *out)
 {
@@ -41,14 +41,14 @@
     }
 }
 
-/* A daemon as one number. */
+/* The number that identifies a daemon: its address and port. */
 uint64_t
 peers_host_id(const struct sockaddr_in *addr)
 {
     return (uint64_t)addr->sin_addr.s_addr << 16 | addr->sin_port;
 }
 
-/* The address of a daemon that is named by a number. */
+/* The address of the daemon that a number identifies. */
 struct sockaddr_in
 peers_addr_from_host_id(uint64_t host)
 {
@@ -69,7 +69,7 @@
     }
 }
 
-/* That a holder has a part. */
+/* Builds the fact that a holder, a server or a kv store, has a part. */
 peer_fact_t
 peers_make_held_fact(const char *holder, const cached_part_t *part)
 {
@@ -82,7 +82,7 @@
 }
 
 /* Sends one daemon the parts that a server or a kv store is believed to hold,
- * the most recently used one last; returns their number. */
+ * the most recently used one last; returns their count. */
 static size_t
 send_parts(peers_t *peers, const char *addr, const char *holder,
            const cached_parts_t *held)
@@ -103,10 +103,10 @@
     return count;
 }
 
-/* A daemon that has just started asks, by an empty list, for all that is
- * known: without it, it would have servers read again what they hold. */
+/* Sends the known parts to a daemon that has just started and requests them.
+ * Without them it would have servers prefill again what others hold. */
 static void
-send_all(peers_t *peers, const struct sockaddr_in *to)
+send_snapshot(peers_t *peers, const struct sockaddr_in *to)
 {
     relay_t *relay = peers->relay;
     char addr[CS_ADDR_MAX];
@@ -129,14 +129,14 @@
     log_record(LOG_INFO, "peers", "told", "to=%s facts=%zu", addr, count);
 }
 
-/* An empty list of facts asks for all that is known. */
+/* Applies facts; an empty list requests the known parts. */
 static void
 apply_facts(peers_t *peers, const struct sockaddr_in *from)
 {
     const peer_datagram_t *datagram = &peers->scratch;
     uint64_t host = peers_host_id(from);
     if (datagram->fact_count == 0) {
-        send_all(peers, from);
+        send_snapshot(peers, from);
         return;
     }
     for (size_t i = 0; i < datagram->fact_count; i++) {
@@ -169,7 +169,7 @@
     }
 }
 
-/* Reads the datagrams that have arrived. */
+/* Reads and applies all datagrams that have arrived. */
 void
 peers_on_readable(evutil_socket_t fd, short what, void *arg)
 {
@@ -183,7 +183,7 @@
                            (struct sockaddr *)&from, &from_len)) > 0) {
         if (peer_decode(&peers->scratch, peers->secret, data, (size_t)len) !=
             0) {
-            log_warn("peers", "A datagram cannot be read.");
+            log_warn("peers", "Dropped a datagram that cannot be decoded.");
             continue;
         }
         apply_datagram(peers, &from);
--- a/relay/peers-duty.c
+++ b/relay/peers-duty.c
@@ -2,31 +2,31 @@
 
 #include <string.h>
 
-/* Which daemon does what for all, and which one to ask. */
+/* Which daemon has a duty for the whole fleet, and which one to query. */
 
-/* Daemons that are alive, this one included. */
+/* The number of live daemons, this one included. */
 size_t
 peers_live_count(const peers_t *peers)
 {
     return members_live(peers->members);
 }
 
-/* Whether a duty falls to this daemon: see members_duty. */
+/* Whether this daemon has a duty: see members_duty. */
 bool
 peers_has_duty(const peers_t *peers, const char *duty)
 {
     return members_duty(peers->members, duty);
 }
 
-/* How many other live daemons come before this one for a duty. */
+/* How many other live daemons rank before this one for a duty. */
 size_t
 peers_duty_rank(const peers_t *peers, const char *duty)
 {
     return members_duty_rank(peers->members, duty);
 }
 
-/* The address at which a live daemon serves its objects, in turn; false if
- * there is none. */
+/* The address at which another live daemon serves its objects, a different one
+ * on each call where possible; false if there is none. */
 bool
 peers_next_http_addr(peers_t *peers, char addr[CS_ADDR_MAX])
 {
@@ -45,22 +45,22 @@
 }
 
 static size_t
-watchers(const peers_t *peers, member_t owners[WATCHERS_MAX])
+list_watchers(const peers_t *peers, member_t owners[WATCHERS_MAX])
 {
-    size_t want = watch_duty_count(peers_live_count(peers));
-    return want == 0 ? 0
-                     : members_duty_owners(peers->members, "store-watch",
-                                           owners, want);
+    size_t wanted = watch_duty_count(peers_live_count(peers));
+    return wanted == 0 ? 0
+                       : members_duty_owners(peers->members, "store-watch",
+                                             owners, wanted);
 }
 
-/* Whether this daemon follows another one's watches of the store, and which:
- * see watch_duty_choose. */
+/* Whether this daemon follows another daemon's watches of the store, and the
+ * address of that one: see watch_duty_choose. */
 bool
 peers_find_upstream(peers_t *peers, char addr[CS_ADDR_MAX])
 {
     member_t owners[WATCHERS_MAX];
     const settings_t *settings = &peers->relay->settings;
-    size_t count = watchers(peers, owners);
+    size_t count = list_watchers(peers, owners);
     const member_t *owner =
         watch_duty_choose(owners, count, settings->name, settings->dc,
                           &peers->avoided_watchers, time_mono_ms());
@@ -71,14 +71,16 @@
     return true;
 }
 
-/* The watcher at an address does not serve this daemon.  One that answered so
- * has lost the store, and another may have it; one that is silent may be cut
- * off as this daemon is, and waiting for the next would take too long. */
+/* Avoids the watcher at an address, which does not serve this daemon.  A
+ * watcher that answered with an error has usually lost the store, and another
+ * one may still reach it.  If it did not answer, this daemon may be cut off
+ * from all of them, and waiting for the next one would take too long: all are
+ * avoided. */
 void
 peers_avoid_upstream(peers_t *peers, const char *addr, bool answered)
 {
     member_t owners[WATCHERS_MAX];
-    size_t count = watchers(peers, owners);
+    size_t count = list_watchers(peers, owners);
     for (size_t i = 0; i < count; i++) {
         if (!answered || strcmp(owners[i].http, addr) == 0) {
             watch_duty_avoid(&peers->avoided_watchers, owners[i].name,
--- a/relay/peers-internal.h
+++ b/relay/peers-internal.h
@@ -1,8 +1,7 @@
 #ifndef CELERYSPOOL_PEERS_INTERNAL_H
 #define CELERYSPOOL_PEERS_INTERNAL_H
 
-/* What the parts of the talk between daemons share: the table behind
- * peers_t. */
+/* The state and functions that the peers-*.c files share. */
 
 #include "peer-discovery.h"
 #include "peers.h"
@@ -10,9 +9,9 @@
 
 #include <netinet/in.h>
 
-/* Facts go straight to this many peers at most; the rest learn by their own
- * sends, and have servers read again what these hold.  Each fact costs 40
- * bytes a peer. */
+/* Facts are sent directly to this many peers at most. The others learn what a
+ * server holds only from their own requests, and until then have servers
+ * prefill again what another one holds. Each fact costs 40 bytes per peer. */
 #define PEERS_DIRECT_MAX 64
 
 struct peers {
@@ -20,18 +19,18 @@
     int fd;
     struct event *read_event;
     struct event *load_timer;
-    size_t load_intervals; /* since loads were last announced */
+    size_t load_intervals; /* passed since loads were last announced */
     members_t *members;
     member_out_t member_messages;
-    peer_datagram_t pending; /* facts that leave with the next tick */
-    peer_datagram_t scratch;
-    unsigned char secret[SECRET_BYTES]; /* none: the network is private */
+    peer_datagram_t pending;            /* facts to send with the next tick */
+    peer_datagram_t scratch;            /* the datagram being built or read */
+    unsigned char secret[SECRET_BYTES]; /* all zero: the network is private */
     peer_discovery_t discovery;
     watch_avoided_t avoided_watchers;
-    int64_t next_round_ms;
-    bool facts_requested;      /* others for what they know */
-    size_t http_rotation;      /* of the daemon that is asked next */
-    retry_hosts_t retry_hosts; /* that share the retries */
+    int64_t next_round_ms;     /* of membership */
+    bool facts_requested;      /* from peers, after the start */
+    size_t http_rotation;      /* where peers_next_http_addr starts */
+    retry_hosts_t retry_hosts; /* live hosts that share the retry slack */
     uint64_t bytes_sent;
 };
 
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -4,10 +4,10 @@
 #include <string.h>
 
 /* Notifications to other daemons: parts that caches hold, requests at servers,
- * units spent of workspaces' limits. */
+ * usage of workspaces' limits. */
 
-/* Others that it asks, against lost datagrams. */
-#define ASK_PEERS 2
+/* Facts are requested from this many peers, since a datagram may be lost. */
+#define FACT_REQUESTS_MAX 2
 
 /* Sends a datagram to as many daemons as are notified directly. */
 static void
@@ -27,7 +27,7 @@
     }
 }
 
-/* Sends the facts that have gathered. */
+/* Sends the pending facts. */
 void
 peers_flush_facts(peers_t *peers)
 {
@@ -39,7 +39,7 @@
 }
 
 static peer_fact_t *
-fact_add(peers_t *peers)
+add_fact(peers_t *peers)
 {
     if (peers->pending.fact_count == PEER_FACTS_MAX) {
         peers_flush_facts(peers);
@@ -49,20 +49,20 @@
     return fact;
 }
 
-/* Notifies peers that a holder has a part or has it no longer. */
+/* Notifies peers that a holder has a part, or no longer has it. */
 void
 peers_notify_part(peers_t *peers, const char *holder,
                   const cached_part_t *part, bool held)
 {
-    peer_fact_t *fact = fact_add(peers);
+    peer_fact_t *fact = add_fact(peers);
     *fact = peers_make_held_fact(holder, part);
     fact->held = held;
 }
 
 static peer_fact_t *
-load_add(peers_t *peers, const server_t *server)
+add_load_fact(peers_t *peers, const server_t *server)
 {
-    peer_fact_t *fact = fact_add(peers);
+    peer_fact_t *fact = add_fact(peers);
     fact->is_load = true;
     str_copy(fact->backend, sizeof(fact->backend), server->info.id);
     fact->load.running = server->own_running;
@@ -72,18 +72,18 @@
     return fact;
 }
 
-/* Notifies peers of a crowded server's reported load: each host gets too few
- * of its answers to know that others have taken its slots. */
+/* Notifies peers of the load that a busy server reported: each host gets too
+ * few of the server's answers to know that other hosts use its slots. */
 void
 peers_notify_reported_load(peers_t *peers, const server_t *server)
 {
-    load_add(peers, server)->load.at_server =
+    add_load_fact(peers, server)->load.at_server =
         server->load_running + server->load_waiting;
 }
 
 /* ---- limits of workspaces ---- */
 
-/* A daemon at an address may spend of the workspaces' limits. */
+/* Notes that the daemon at an address may spend of the workspaces' limits. */
 void
 peers_note_quota_host(void *arg, const char *addr)
 {
@@ -96,7 +96,8 @@
     }
 }
 
-/* All live members may spend of the workspaces' limits. */
+/* Notes that all members that are not dead may spend of the workspaces'
+ * limits. */
 void
 peers_note_quota_hosts(peers_t *peers)
 {
@@ -109,7 +110,8 @@
     }
 }
 
-/* Announces what this host has spent to all that may spend. */
+/* Announces this host's usage of the workspaces' limits to all hosts that may
+ * spend of them. */
 void
 peers_announce_quotas(peers_t *peers, int64_t now)
 {
@@ -129,29 +131,29 @@
     }
 }
 
-/* ---- what others know ---- */
+/* ---- facts and loads ---- */
 
-/* Requests the known facts from a few others, once they are found. */
+/* Requests the known facts from a few live peers, if there are any. */
 void
 peers_request_facts(peers_t *peers)
 {
     member_t live[PEERS_DIRECT_MAX + 1];
-    size_t asked = 0;
+    size_t requested = 0;
     size_t count = members_list(peers->members, live, PEERS_DIRECT_MAX + 1);
     memset(&peers->scratch, 0, sizeof(peers->scratch));
     peers->scratch.kind = PEER_FACTS;
-    for (size_t i = 0; i < count && asked < ASK_PEERS; i++) {
+    for (size_t i = 0; i < count && requested < FACT_REQUESTS_MAX; i++) {
         if (live[i].health == MEMBER_ALIVE &&
             strcmp(live[i].name, peers->relay->settings.name) != 0) {
             peers_send(peers, live[i].peer, &peers->scratch);
-            asked++;
+            requested++;
         }
     }
-    peers->facts_requested = asked > 0;
+    peers->facts_requested = requested > 0;
 }
 
 /* Announces this host's requests at servers: a server's load header does not
- * count the prompt tokens that are still to be read. */
+ * count the prompt tokens that are still to be prefilled. */
 void
 peers_notify_loads(peers_t *peers, int64_t now)
 {
@@ -160,13 +162,13 @@
     }
 }
 
-/* Notifies peers of a server's weights and of those that it loads (0 for
- * none), sooner than the platform's list, so that no request is sent there in
- * vain. */
+/* Notifies peers of a server's weights and of those that it is loading (0 for
+ * none).  Peers learn it sooner than from the platform's list, so that they
+ * send no request to it in vain. */
 void
 peers_notify_weights(peers_t *peers, const server_t *server, int64_t loading)
 {
-    peer_fact_t *fact = load_add(peers, server);
+    peer_fact_t *fact = add_load_fact(peers, server);
     (void)snprintf(fact->load.version, sizeof(fact->load.version), "%lld",
                    (long long)server->info.weights);
     if (loading > 0) {
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -4,42 +4,43 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Daemons find each other by objects in the platform's store, one a daemon,
- * and then talk by datagrams on a port of their own: membership as in the
- * product's own deployments (kernel/members.c), and facts about servers.
- * Lost datagrams cost a recomputation or a detour, never an answer. */
+/* Daemons find each other by objects in the platform's store, one per daemon,
+ * and then exchange datagrams on a port of their own: membership, as in
+ * deployments without the platform (kernel/members.c), and facts about
+ * servers.  A lost datagram may cost a recomputation or a less suitable
+ * server, but never an answer. */
 
-/* Loads are announced this often, ms, and less often in fleets of more hosts
- * than this, each of which has fewer requests. */
-#define LOADS_MS 50
-#define LOADS_HOSTS 50
+/* Loads are announced at this interval, ms, and one more interval for every so
+ * many hosts: in a larger fleet each host has fewer requests. */
+#define LOADS_INTERVAL_MS 50
+#define LOADS_HOSTS_PER_INTERVAL 50
 
-/* This host's part of the retries that all may send besides those that their
- * requests earn. */
+/* Sets this host's share of the retries that all hosts may send besides those
+ * that their requests earn. */
 static void
-share_retries(peers_t *peers, int64_t now)
+update_retry_slack(peers_t *peers, int64_t now)
 {
     relay_t *relay = peers->relay;
-    double part =
+    double share =
         retry_hosts_part(&peers->retry_hosts, peers_live_count(peers),
                          (size_t)relay->settings.hosts, now);
-    relay->retries.slack = part * relay->settings.retry_slack;
+    relay->retries.slack = share * relay->settings.retry_slack;
 }
 
 static void
-on_loads(evutil_socket_t fd, short what, void *arg)
+on_load_timer(evutil_socket_t fd, short what, void *arg)
 {
     peers_t *peers = arg;
-    size_t steps = 1 + peers_live_count(peers) / LOADS_HOSTS;
+    size_t intervals = 1 + peers_live_count(peers) / LOADS_HOSTS_PER_INTERVAL;
     (void)fd;
     (void)what;
-    if (++peers->load_intervals >= steps) {
+    if (++peers->load_intervals >= intervals) {
         peers->load_intervals = 0;
         peers_notify_loads(peers, time_mono_ms());
     }
 }
 
-/* One step; membership has its own, slower one. */
+/* Does the periodic work; membership has a longer interval of its own. */
 void
 peers_tick(peers_t *peers)
 {
@@ -55,7 +56,7 @@
         return;
     }
     peers->next_round_ms = now + members_interval_ms();
-    share_retries(peers, now);
+    update_retry_slack(peers, now);
     peers_note_quota_hosts(peers);
     members_tick(peers->members, now,
                  relay->config != NULL ? relay->config->revision : 0,
@@ -65,7 +66,7 @@
 }
 
 static int
-socket_open(const char *addr)
+open_socket(const char *addr)
 {
     struct sockaddr_in at;
     int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -80,8 +81,9 @@
     return fd;
 }
 
-/* The settings name a few hosts by an address of theirs; daemons listen for
- * each other at the same port on all. */
+/* Adds the seed hosts of the settings to the membership.  Daemons listen for
+ * each other at the same port on all hosts, so each seed gets the port of this
+ * one. */
 static void
 add_seeds(peers_t *peers)
 {
@@ -97,11 +99,11 @@
     }
 }
 
-/* Open the port and begin to look for others. */
+/* Opens the port for datagrams and starts to discover other daemons. */
 peers_t *
 peers_start(relay_t *relay, err_t *err)
 {
-    int fd = socket_open(relay->settings.peer);
+    int fd = open_socket(relay->settings.peer);
     if (fd < 0) {
         (void)err_set(err, ERR_PEER, 1, "cannot listen at %s",
                       relay->settings.peer);
@@ -111,7 +113,7 @@
     str_copy(self.name, sizeof(self.name), relay->settings.name);
     str_copy(self.dc, sizeof(self.dc), relay->settings.dc);
     str_copy(self.peer, sizeof(self.peer), relay->settings.peer);
-    /* Where other daemons can ask: see object_cache_answer. */
+    /* Serves objects to other daemons: see object_cache_answer. */
     str_copy(self.http, sizeof(self.http), relay->settings.metrics);
     peers_t *peers = mem_zalloc(sizeof(*peers));
     peers->relay = relay;
@@ -121,10 +123,10 @@
     peers->read_event = event_new(relay->base, fd, EV_READ | EV_PERSIST,
                                   peers_on_readable, peers);
     (void)event_add(peers->read_event, NULL);
-    static const struct timeval loads_step = {0, LOADS_MS * 1000};
+    static const struct timeval loads_interval = {0, LOADS_INTERVAL_MS * 1000};
     peers->load_timer =
-        event_new(relay->base, -1, EV_PERSIST, on_loads, peers);
-    (void)event_add(peers->load_timer, &loads_step);
+        event_new(relay->base, -1, EV_PERSIST, on_load_timer, peers);
+    (void)event_add(peers->load_timer, &loads_interval);
     add_seeds(peers);
     relay->notify_part = peers_notify_part;
     peers->discovery = (peer_discovery_t){.settings = &relay->settings,
--- a/relay/peers.h
+++ b/relay/peers.h
@@ -1,7 +1,8 @@
 #ifndef CELERYSPOOL_PEERS_H
 #define CELERYSPOOL_PEERS_H
 
-/* The other daemons: who is alive, and what they have seen of the servers. */
+/* The other daemons: which are alive, and the facts that daemons exchange
+ * about servers. */
 
 #include "../kernel/peer-codec.h"
 #include "relay.h"
