--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -6,17 +6,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What this host believes of the platform's configuration, servers and named
- * weights, and how it learns it. */
+/* Keeps this host's state of the platform's configuration, servers and named
+ * weights up to date. */
 
-/* An entry that lapsed while the store was away is written again within two
- * seconds of its return if its server lives; one that is still missing behind
- * that and a margin is gone, ms. */
-#define RETURN_MS 2300
+/* How long a missing entry of a server is kept after the store's recovery, ms:
+ * if the server is alive, an entry that expired while the store was
+ * unreachable is written again within two seconds; the rest is a margin. */
+#define STORE_RECOVERY_MS 2300
 
 /* ---- configuration ---- */
 
-/* The limits of the workspaces that the configuration names. */
+/* Applies the limits of the workspaces in the configuration. */
 static void
 set_quotas(relay_t *relay)
 {
@@ -32,8 +32,8 @@
     quotas_config_end(&relay->quotas);
 }
 
-/* A daemon only ever goes up in revisions: lists and watches may tell an
- * older state behind a newer one. */
+/* Applies a configuration that is newer than the current one: lists and
+ * watches may deliver an older state after a newer one. */
 static void
 on_config(void *arg, const store_object_t *object)
 {
@@ -52,7 +52,8 @@
         return;
     }
     if (relay->config != NULL && config->version < relay->config->version) {
-        log_warn("config", "Version %lld came behind %lld; it is not taken.",
+        log_warn("config",
+                 "Ignored version %lld: older than the current version %lld.",
                  (long long)config->version,
                  (long long)relay->config->version);
         relay_config_release(config);
@@ -67,37 +68,37 @@
 }
 
 static void
-on_config_list(void *arg)
+on_config_list_begin(void *arg)
 {
     relay_t *relay = arg;
     object_cache_list_begin(relay->objects, KIND_CONFIG);
 }
 
 static void
-on_config_listed(void *arg, int64_t at)
+on_config_list_end(void *arg, int64_t revision)
 {
     relay_t *relay = arg;
-    object_cache_list_end(relay->objects, KIND_CONFIG, at);
+    object_cache_list_end(relay->objects, KIND_CONFIG, revision);
 }
 
 static void
-on_config_settled(void *arg)
+on_config_update(void *arg)
 {
     relay_t *relay = arg;
     object_cache_notify(relay->objects, KIND_CONFIG);
 }
 
-/* A daemon to ask while the store does not answer. */
+/* Finds a daemon to ask while the store does not answer. */
 static bool
-other_daemon(void *arg, char addr[CS_ADDR_MAX])
+find_peer_daemon(void *arg, char addr[CS_ADDR_MAX])
 {
     relay_t *relay = arg;
     return relay->peers != NULL && peers_next_http_addr(relay->peers, addr);
 }
 
-/* The daemon that watches the store for this one too. */
+/* Finds the daemon whose watches of the store this one follows. */
 static bool
-upstream_daemon(void *arg, char addr[CS_ADDR_MAX])
+find_upstream_daemon(void *arg, char addr[CS_ADDR_MAX])
 {
     relay_t *relay = arg;
     return relay->peers != NULL && relay->stopping_ms == 0 &&
@@ -105,7 +106,7 @@
 }
 
 static void
-upstream_lost(void *arg, const char *addr, bool answered)
+on_upstream_lost(void *arg, const char *addr, bool answered)
 {
     relay_t *relay = arg;
     peers_avoid_upstream(relay->peers, addr, answered);
@@ -114,7 +115,7 @@
 /* ---- servers ---- */
 
 static void
-server_gone(relay_t *relay, server_t *server, const char *why)
+mark_server_gone(relay_t *relay, server_t *server, const char *why)
 {
     log_record(LOG_INFO, "servers", "gone", "server=%s service=%s why=%s",
                server->info.id, server->info.service, why);
@@ -123,20 +124,21 @@
     exchanges_drop(relay->exchanges, server->info.addr);
 }
 
-/* Whether entries may be missing only because the store was away. */
+/* Whether entries may be missing only because the store is or was unreachable.
+ */
 static bool
-store_recovering(const relay_t *relay, int64_t now)
+store_is_recovering(const relay_t *relay, int64_t now)
 {
-    int64_t back = watch_recovered_ms(relay->servers_watch);
-    return back != 0 && now - back < RETURN_MS;
+    int64_t recovered_ms = watch_recovered_ms(relay->servers_watch);
+    return recovered_ms != 0 && now - recovered_ms < STORE_RECOVERY_MS;
 }
 
 static void
-server_missing(relay_t *relay, server_t *server)
+mark_server_missing(relay_t *relay, server_t *server)
 {
     int64_t now = time_mono_ms();
-    if (!store_recovering(relay, now)) {
-        server_gone(relay, server, "removed");
+    if (!store_is_recovering(relay, now)) {
+        mark_server_gone(relay, server, "removed");
         return;
     }
     if (server->missing_ms == 0) {
@@ -147,7 +149,7 @@
 }
 
 static void
-on_server_list(void *arg)
+on_server_list_begin(void *arg)
 {
     relay_t *relay = arg;
     relay->servers->lists++;
@@ -155,7 +157,7 @@
 }
 
 static void
-on_servers_settled(void *arg)
+on_servers_update(void *arg)
 {
     relay_t *relay = arg;
     object_cache_notify(relay->objects, KIND_SERVERS);
@@ -171,10 +173,11 @@
                server->info.dc, (long long)server->info.weights);
 }
 
-/* What was kept at a server is lost with a start or with other weights. */
+/* Forgets what a server's cache held if the entry shows a restart or other
+ * weights. */
 static void
-forget_if_renewed(relay_t *relay, const server_t *server,
-                  const server_entry_t *entry)
+forget_stale_cache(relay_t *relay, const server_t *server,
+                   const server_entry_t *entry)
 {
     if (server->info.born_ms != entry->born_ms ||
         server->info.weights != entry->weights) {
@@ -182,11 +185,11 @@
     }
 }
 
-/* Whether an entry says anything that was not known.  Lists that are read
- * again and again, as from another daemon while the store is away, would else
- * fill the records with what has not changed. */
+/* Whether an entry differs from what is known of its server.  Lists that are
+ * read repeatedly, as from another daemon while the store is unreachable,
+ * would otherwise fill the log with unchanged entries. */
 static bool
-is_news(const server_t *server, const server_entry_t *entry)
+entry_has_changed(const server_t *server, const server_entry_t *entry)
 {
     return server == NULL || server->missing_ms != 0 ||
            server->info.draining != entry->draining ||
@@ -209,7 +212,7 @@
     }
     if (object->removed) {
         if (server != NULL) {
-            server_missing(relay, server);
+            mark_server_missing(relay, server);
         }
         return;
     }
@@ -218,33 +221,34 @@
         return;
     }
     if (server != NULL) {
-        forget_if_renewed(relay, server, &entry);
+        forget_stale_cache(relay, server, &entry);
     }
-    bool news = is_news(server, &entry);
+    bool has_changed = entry_has_changed(server, &entry);
     server = servers_put(relay->servers, &entry);
     if (server == NULL) {
-        log_error("servers", "There is no room for %s.", entry.id);
+        log_error("servers", "The table of servers is full; ignored %s.",
+                  entry.id);
         return;
     }
     server->revision = object->revision;
     cache_room(relay, server);
-    if (news) {
+    if (has_changed) {
         log_server(server);
     }
 }
 
 static void
-on_servers_listed(void *arg, int64_t at)
+on_server_list_end(void *arg, int64_t revision)
 {
     relay_t *relay = arg;
     server_t *server;
     relay->servers_listed = true;
-    object_cache_list_end(relay->objects, KIND_SERVERS, at);
+    object_cache_list_end(relay->objects, KIND_SERVERS, revision);
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        /* A list that is older than the entry says nothing of it. */
+        /* A list that is older than the entry does not prove it removed. */
         if (!server->gone && server->seen != relay->servers->lists &&
-            server->revision <= at) {
-            server_missing(relay, server);
+            server->revision <= revision) {
+            mark_server_missing(relay, server);
         }
     }
 }
@@ -269,52 +273,52 @@
 }
 
 static void
-on_weights_list(void *arg)
+on_weights_list_begin(void *arg)
 {
     relay_t *relay = arg;
     object_cache_list_begin(relay->objects, KIND_WEIGHTS);
 }
 
 static void
-on_weights_listed(void *arg, int64_t at)
+on_weights_list_end(void *arg, int64_t revision)
 {
     relay_t *relay = arg;
     relay->weights_listed = true;
-    object_cache_list_end(relay->objects, KIND_WEIGHTS, at);
+    object_cache_list_end(relay->objects, KIND_WEIGHTS, revision);
 }
 
 static void
-on_weights_settled(void *arg)
+on_weights_update(void *arg)
 {
     relay_t *relay = arg;
     object_cache_notify(relay->objects, KIND_WEIGHTS);
 }
 
-/* ---- all of it ---- */
+/* ---- watches ---- */
 
 void
 discovery_start(relay_t *relay)
 {
     const char *store = relay->settings.store;
-    const watch_hooks_t shared = {.find_peer = other_daemon,
-                                  .find_upstream = upstream_daemon,
-                                  .on_upstream_lost = upstream_lost,
+    const watch_hooks_t shared = {.find_peer = find_peer_daemon,
+                                  .find_upstream = find_upstream_daemon,
+                                  .on_upstream_lost = on_upstream_lost,
                                   .arg = relay};
     watch_hooks_t config = shared;
-    config.on_list_begin = on_config_list;
+    config.on_list_begin = on_config_list_begin;
     config.on_object = on_config;
-    config.on_list_end = on_config_listed;
-    config.on_update = on_config_settled;
+    config.on_list_end = on_config_list_end;
+    config.on_update = on_config_update;
     watch_hooks_t servers = shared;
-    servers.on_list_begin = on_server_list;
+    servers.on_list_begin = on_server_list_begin;
     servers.on_object = on_server;
-    servers.on_list_end = on_servers_listed;
-    servers.on_update = on_servers_settled;
+    servers.on_list_end = on_server_list_end;
+    servers.on_update = on_servers_update;
     watch_hooks_t weights = shared;
-    weights.on_list_begin = on_weights_list;
+    weights.on_list_begin = on_weights_list_begin;
     weights.on_object = on_weights;
-    weights.on_list_end = on_weights_listed;
-    weights.on_update = on_weights_settled;
+    weights.on_list_end = on_weights_list_end;
+    weights.on_update = on_weights_update;
     relay->objects = object_cache_new(relay);
     relay->config_watch = watch_start(relay->base, relay->exchanges, store,
                                       KIND_CONFIG, &config);
@@ -332,8 +336,8 @@
     watch_stop(relay->weights_watch);
 }
 
-/* Entries that were missing when the store came back and have not come back
- * themselves are gone. */
+/* Drops servers whose entries have not been written again after the store's
+ * recovery, sends the probes that are due and frees unused servers. */
 void
 discovery_tick(relay_t *relay)
 {
@@ -341,8 +345,8 @@
     server_t *server;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         if (!server->gone && server->missing_ms != 0 &&
-            !store_recovering(relay, now)) {
-            server_gone(relay, server, "not-back");
+            !store_is_recovering(relay, now)) {
+            mark_server_gone(relay, server, "not-back");
         }
     }
     probes_tick(relay);
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -2,28 +2,28 @@
 
 #include <stdlib.h>
 
-/* Changes of a kind that are kept for followers; one that is further behind
- * lists anew.  Entries of 112 servers change about ten
- * times a second while weights load: half a minute of them. */
+/* Changes of a kind that are kept for followers; a follower that needs older
+ * ones lists again.  The entries of 112 servers change about ten times a
+ * second while weights load: this is about half a minute of them. */
 #define CHANGES_MAX 256
-/* Longest wait for news that is granted, ms. */
-#define WAIT_MAX_MS 5000
+/* Longest wait for changes that a follower can ask for, ms. */
+#define WAIT_MS_MAX 5000
 
 typedef struct {
-    json_t *objects; /* by name */
-    json_t *listing; /* the same while a list comes in, else NULL */
-    json_t *changes; /* the oldest first */
-    int64_t since;   /* all changes behind this revision are there */
+    json_t *objects;       /* by name */
+    json_t *listing;       /* by name, while a list is received, else NULL */
+    json_t *changes;       /* the oldest first */
+    int64_t changes_since; /* changes has all after this revision */
 } object_cache_kind_t;
 
-/* A daemon that waits for news. */
+/* A daemon that waits for changes. */
 typedef struct waiter {
     CK_LIST_ENTRY(waiter) entry;
     object_cache_t *cache;
     caller_t *caller;
     struct event *timer;
     kind_t kind;
-    int64_t from;
+    int64_t from_revision;
 } waiter_t;
 
 typedef CK_LIST_HEAD(waiters, waiter) waiters_t;
@@ -47,7 +47,7 @@
     return cache;
 }
 
-/* Nobody may wait any more. */
+/* Frees a cache, which must not have any waiters. */
 void
 object_cache_free(object_cache_t *cache)
 {
@@ -60,7 +60,7 @@
 }
 
 static watch_t *
-watch_of(const object_cache_t *cache, kind_t kind)
+watch_for(const object_cache_t *cache, kind_t kind)
 {
     const relay_t *relay = cache->relay;
     watch_t *watches[KINDS_CACHED] = {
@@ -82,66 +82,69 @@
     }
 }
 
-/* Keep an object as the store gave it. */
+/* Keeps an object or its removal, as the store reported it. */
 void
 object_cache_put(object_cache_t *cache, kind_t kind,
                  const store_object_t *object)
 {
-    object_cache_kind_t *own = &cache->kinds[kind];
-    if (own->listing != NULL) {
-        put_object(own->listing, object);
+    object_cache_kind_t *cached = &cache->kinds[kind];
+    if (cached->listing != NULL) {
+        put_object(cached->listing, object);
         return;
     }
-    put_object(own->objects, object);
-    (void)json_array_append_new(own->changes, platform_change(object));
-    if (json_array_size(own->changes) > CHANGES_MAX) {
-        own->since = platform_change_revision(json_array_get(own->changes, 0));
-        (void)json_array_remove(own->changes, 0);
+    put_object(cached->objects, object);
+    (void)json_array_append_new(cached->changes, platform_change(object));
+    if (json_array_size(cached->changes) > CHANGES_MAX) {
+        cached->changes_since =
+            platform_change_revision(json_array_get(cached->changes, 0));
+        (void)json_array_remove(cached->changes, 0);
     }
 }
 
-/* A whole list comes in. */
+/* Begins a whole list: objects go into it until it is complete. */
 void
 object_cache_list_begin(object_cache_t *cache, kind_t kind)
 {
-    object_cache_kind_t *own = &cache->kinds[kind];
-    json_decref(own->listing);
-    own->listing = json_object();
+    object_cache_kind_t *cached = &cache->kinds[kind];
+    json_decref(cached->listing);
+    cached->listing = json_object();
 }
 
-/* What is known of an object behind a list goes before what the list says of
- * it, or does not: lists of the store come in pages, and one that another
- * daemon tells can be behind.  An entry that is lost here is taken for a
- * server that is gone by whoever asks this daemon. */
+/* Keeps the known objects that are newer than the list, or than their form in
+ * it: lists of the store come in pages, and a list from another daemon can be
+ * out of date.  If an entry were lost here, the daemons that ask this one
+ * would treat a live server as removed. */
 static void
-keep_newer(object_cache_kind_t *own, int64_t at)
+merge_newer(object_cache_kind_t *cached, int64_t revision)
 {
     const char *name;
     json_t *object;
-    json_object_foreach (own->objects, name, object) {
-        const json_t *listed = json_object_get(own->listing, name);
-        int64_t told = listed != NULL ? platform_revision(listed) : at;
-        if (platform_revision(object) > told) {
-            (void)json_object_set(own->listing, name, object);
+    json_object_foreach (cached->objects, name, object) {
+        const json_t *listed = json_object_get(cached->listing, name);
+        int64_t listed_revision =
+            listed != NULL ? platform_revision(listed) : revision;
+        if (platform_revision(object) > listed_revision) {
+            (void)json_object_set(cached->listing, name, object);
         }
     }
 }
 
-/* It is complete: what was not on it is gone, and what changed on the way to
- * it is not known one by one. */
+/* Ends a list: older objects that are not on it are dropped.  The changes up
+ * to it are not known one by one, so no watch can start before its revision.
+ */
 void
-object_cache_list_end(object_cache_t *cache, kind_t kind, int64_t at)
+object_cache_list_end(object_cache_t *cache, kind_t kind, int64_t revision)
 {
-    object_cache_kind_t *own = &cache->kinds[kind];
-    if (own->listing == NULL) {
+    object_cache_kind_t *cached = &cache->kinds[kind];
+    if (cached->listing == NULL) {
         return;
     }
-    keep_newer(own, at);
-    json_decref(own->objects);
-    own->objects = own->listing;
-    own->listing = NULL;
-    own->since = at;
-    (void)json_array_clear(own->changes);
+    merge_newer(cached, revision);
+    json_decref(cached->objects);
+    cached->objects = cached->listing;
+    cached->listing = NULL;
+    cached->changes_since = revision;
+    (void)json_array_clear(cached->changes);
 }
 
 /* The objects of a kind by name. */
@@ -154,7 +157,7 @@
 /* ---- answers ---- */
 
 static void
-answer(caller_t *caller, int status, json_t *owned)
+send_answer(caller_t *caller, int status, json_t *owned)
 {
     CLEAN_JSON json_t *page = owned;
     CLEAN_TEXT char *text = json_dumps(page, JSON_COMPACT);
@@ -165,40 +168,40 @@
     caller_answer(caller, status, &headers, buf_text(&body), body.len);
 }
 
-/* Changes behind a revision. */
+/* The changes after a revision. */
 static json_t *
-changes_behind(const object_cache_kind_t *own, int64_t from)
+changes_after(const object_cache_kind_t *cached, int64_t from_revision)
 {
     json_t *found = json_array();
     size_t index;
     json_t *change;
-    json_array_foreach (own->changes, index, change) {
-        if (platform_change_revision(change) > from) {
+    json_array_foreach (cached->changes, index, change) {
+        if (platform_change_revision(change) > from_revision) {
             (void)json_array_append(found, change);
         }
     }
     return found;
 }
 
-/* What who watches from a revision is told: a status, with a page for 200, or
- * 0 while there is nothing to tell and its time is not over.  Only the store's
- * own word is passed on: a daemon that is cut off from the store would else
- * keep its followers on what it has. */
+/* The answer to a watch from a revision: a status, with a page for 200, or 0
+ * if there are no changes yet and the wait has not timed out.  Only what the
+ * store itself confirms is passed on: a daemon that is cut off from the store
+ * would otherwise keep its followers at its own old state. */
 static int
-look(const object_cache_t *cache, kind_t kind, int64_t from, bool over,
-     json_t **page)
+poll_changes(const object_cache_t *cache, kind_t kind, int64_t from_revision,
+             bool timed_out, json_t **page)
 {
-    const object_cache_kind_t *own = &cache->kinds[kind];
-    const watch_t *watch = watch_of(cache, kind);
+    const object_cache_kind_t *cached = &cache->kinds[kind];
+    const watch_t *watch = watch_for(cache, kind);
     *page = NULL;
     if (!watch_is_fresh(watch) || cache->relay->stopping_ms != 0) {
         return 503;
     }
-    if (from < own->since) {
+    if (from_revision < cached->changes_since) {
         return 410;
     }
-    json_t *changes = changes_behind(own, from);
-    if (json_array_size(changes) == 0 && !over) {
+    json_t *changes = changes_after(cached, from_revision);
+    if (json_array_size(changes) == 0 && !timed_out) {
         json_decref(changes);
         return 0;
     }
@@ -214,39 +217,41 @@
     free(waiter);
 }
 
-/* The connection of a waiting daemon has ended. */
+/* Drops a waiter whose connection has ended. */
 void
 object_cache_caller_left(void *waiter)
 {
     waiter_free(waiter);
 }
 
-/* Answer a waiter; it is gone before its answer is written, since its next
- * question may follow at once. */
+/* Answers a waiter if there are changes or its wait has timed out.  The waiter
+ * is freed before the answer is written, since the next request of its daemon
+ * may follow at once. */
 static void
-waiter_try(waiter_t *waiter, bool over)
+try_answer(waiter_t *waiter, bool timed_out)
 {
     caller_t *caller = waiter->caller;
     json_t *page;
-    int status = look(waiter->cache, waiter->kind, waiter->from, over, &page);
+    int status = poll_changes(waiter->cache, waiter->kind,
+                              waiter->from_revision, timed_out, &page);
     if (status == 0) {
         return;
     }
     caller_serves(caller, NULL);
     waiter_free(waiter);
-    answer(caller, status, page);
+    send_answer(caller, status, page);
 }
 
 static void
-on_wait_over(evutil_socket_t fd, short what, void *arg)
+on_wait_timeout(evutil_socket_t fd, short what, void *arg)
 {
     (void)fd;
     (void)what;
-    waiter_try(arg, true);
+    try_answer(arg, true);
 }
 
-/* Answers the followers that wait: a kind has changed, or the store was lost
- * or is back. */
+/* Answers the followers that wait for a kind, after it has changed or the
+ * store was lost or has recovered. */
 void
 object_cache_notify(object_cache_t *cache, kind_t kind)
 {
@@ -254,30 +259,29 @@
     waiter_t *next;
     CK_LIST_FOREACH_SAFE (waiter, &cache->waiters, entry, next) {
         if (waiter->kind == kind) {
-            waiter_try(waiter, false);
+            try_answer(waiter, false);
         }
     }
 }
 
 static void
-wait_for_news(object_cache_t *cache, caller_t *caller,
-              const store_query_t *query)
+add_waiter(object_cache_t *cache, caller_t *caller, const store_query_t *query)
 {
-    int ms = query->wait_ms < WAIT_MAX_MS ? query->wait_ms : WAIT_MAX_MS;
-    struct timeval after = {ms / 1000, ms % 1000 * 1000};
+    int ms = query->wait_ms < WAIT_MS_MAX ? query->wait_ms : WAIT_MS_MAX;
+    struct timeval wait = {ms / 1000, ms % 1000 * 1000};
     waiter_t *waiter = mem_zalloc(sizeof(*waiter));
     waiter->cache = cache;
     waiter->caller = caller;
     waiter->kind = query->kind;
-    waiter->from = query->from;
-    waiter->timer = evtimer_new(cache->relay->base, on_wait_over, waiter);
-    (void)event_add(waiter->timer, &after);
+    waiter->from_revision = query->from;
+    waiter->timer = evtimer_new(cache->relay->base, on_wait_timeout, waiter);
+    (void)event_add(waiter->timer, &wait);
     CK_LIST_INSERT_HEAD(&cache->waiters, waiter, entry);
     caller_serves(caller, waiter);
 }
 
-/* Answer another daemon's question for objects, as the store would; false if
- * it is none. */
+/* Answers another daemon's request for objects, as the store would; false if
+ * the target is not such a request. */
 bool
 object_cache_answer(object_cache_t *cache, caller_t *caller,
                     const char *target)
@@ -287,25 +291,25 @@
         return false;
     }
     if (query.kind >= KINDS_CACHED ||
-        !watch_has_list(watch_of(cache, query.kind))) {
-        answer(caller, 404, NULL);
+        !watch_has_list(watch_for(cache, query.kind))) {
+        send_answer(caller, 404, NULL);
         return true;
     }
-    watch_t *watch = watch_of(cache, query.kind);
+    watch_t *watch = watch_for(cache, query.kind);
     if (!query.watches) {
-        answer(caller, 200,
-               platform_page(cache->kinds[query.kind].objects,
-                             watch_revision(watch)));
+        send_answer(caller, 200,
+                    platform_page(cache->kinds[query.kind].objects,
+                                  watch_revision(watch)));
         return true;
     }
     watch_note_follower(watch);
     json_t *page;
     int status =
-        look(cache, query.kind, query.from, query.wait_ms <= 0, &page);
+        poll_changes(cache, query.kind, query.from, query.wait_ms <= 0, &page);
     if (status == 0) {
-        wait_for_news(cache, caller, &query);
+        add_waiter(cache, caller, &query);
         return true;
     }
-    answer(caller, status, page);
+    send_answer(caller, status, page);
     return true;
 }
--- a/relay/object-cache.h
+++ b/relay/object-cache.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_OBJECT_CACHE_H
 #define CELERYSPOOL_OBJECT_CACHE_H
 
-/* Caches the platform's objects and serves them to other daemons: lists to
- * those that cannot reach the store, watches to followers. */
+/* Caches the platform's objects and serves them to other daemons: as lists to
+ * those that cannot reach the store, as watches to followers. */
 
 #include "relay.h"
 
@@ -11,7 +11,8 @@
 void object_cache_put(object_cache_t *cache, kind_t kind,
                       const store_object_t *object);
 void object_cache_list_begin(object_cache_t *cache, kind_t kind);
-void object_cache_list_end(object_cache_t *cache, kind_t kind, int64_t at);
+void object_cache_list_end(object_cache_t *cache, kind_t kind,
+                           int64_t revision);
 const json_t *object_cache_objects(const object_cache_t *cache, kind_t kind);
 void object_cache_notify(object_cache_t *cache, kind_t kind);
 bool object_cache_answer(object_cache_t *cache, caller_t *caller,
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -4,16 +4,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Questions to servers: whether they are there at all, and which weights they
- * are on where the platform's list may be behind. */
+/* Probes of servers: whether they answer at all, and which weights they have
+ * loaded, where the platform's list may be out of date. */
 
-/* A server is asked for its report once in this time at most, ms. */
-#define PROBE_EVERY_MS 200
-#define CONNECT_MS 250
-/* An engine answers its report without a slot, within a few ms; a plain server
- * answers between two of its requests, which take tens of ms. */
-#define REPORT_MS 350
-#define HEALTH_MS 600
+/* A server is probed at most once per interval, ms. */
+#define PROBE_INTERVAL_MS 200
+#define CONNECT_TIMEOUT_MS 250
+/* An engine reports without a slot, within a few ms; a plain server answers a
+ * health check between two of its requests, which take tens of ms. */
+#define REPORT_TIMEOUT_MS 350
+#define HEALTH_TIMEOUT_MS 600
 
 typedef struct {
     relay_t *relay;
@@ -22,13 +22,13 @@
 } probe_t;
 
 static void
-take_report(const probe_t *probe, server_t *server,
-            const fetch_result_t *result)
+apply_report(const probe_t *probe, server_t *server,
+             const fetch_result_t *result)
 {
     server_report_t report;
     err_t err = {0};
     if (platform_report_read(&report, result->text, result->len, &err) != 0) {
-        log_warn("servers", "The report of %s cannot be read: %s.", probe->id,
+        log_warn("servers", "Cannot parse the report of %s: %s.", probe->id,
                  err.text);
         return;
     }
@@ -41,10 +41,10 @@
     }
 }
 
-/* It did not answer: nothing more goes there, and what can be done elsewhere
- * leaves it. */
+/* Marks a server that did not answer: it gets no further requests, and those
+ * that may run elsewhere are taken from it. */
 static void
-server_lost(relay_t *relay, server_t *server)
+mark_silent(relay_t *relay, server_t *server)
 {
     if (!server->silent) {
         log_record(LOG_WARN, "servers", "silent",
@@ -72,18 +72,18 @@
             }
             server_note_answer(server, time_mono_ms());
             if (probe->engine && result->status == 200) {
-                take_report(probe, server, result);
+                apply_report(probe, server, result);
             }
         }
         else {
-            server_lost(relay, server);
+            mark_silent(relay, server);
         }
     }
     free(probe);
 }
 
 static void
-call_of(const relay_t *relay, const server_t *server, buf_t *out)
+build_call(const relay_t *relay, const server_t *server, buf_t *out)
 {
     const relay_service_t *service =
         relay->config != NULL
@@ -97,14 +97,14 @@
                          service != NULL ? service->health : "/");
 }
 
-/* Ask a server, unless it was just asked. */
+/* Probes a server, unless it was probed just now. */
 void
 probe_server(relay_t *relay, server_t *server)
 {
     int64_t now = time_mono_ms();
     CLEAN_BUF buf_t head = {0};
-    if (server->probing ||
-        (server->asked_ms != 0 && now - server->asked_ms < PROBE_EVERY_MS)) {
+    if (server->probing || (server->asked_ms != 0 &&
+                            now - server->asked_ms < PROBE_INTERVAL_MS)) {
         return;
     }
     server->asked_ms = now;
@@ -113,13 +113,14 @@
     probe->relay = relay;
     probe->engine = server->info.engine;
     str_copy(probe->id, sizeof(probe->id), server->info.id);
-    call_of(relay, server, &head);
-    fetch_ask_t ask = {.addr = server->info.addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = probe->engine ? REPORT_MS : HEALTH_MS,
-                       .on_done = on_done,
-                       .arg = probe};
+    build_call(relay, server, &head);
+    fetch_ask_t ask = {
+        .addr = server->info.addr,
+        .call = &head,
+        .connect_ms = CONNECT_TIMEOUT_MS,
+        .total_ms = probe->engine ? REPORT_TIMEOUT_MS : HEALTH_TIMEOUT_MS,
+        .on_done = on_done,
+        .arg = probe};
     (void)fetch_start(relay->exchanges, &ask);
 }
 
--- a/relay/watch-duty.c
+++ b/relay/watch-duty.c
@@ -2,32 +2,33 @@
 
 #include <string.h>
 
-/* The load that this answers: every call to the store has its price and counts
- * against a rate that grows more slowly than the fleet. */
+/* Limits the load on the store: each call has a cost and counts against a rate
+ * limit that grows more slowly than the fleet. */
 
-/* So many daemons all watch for themselves: their calls cost little, and no
- * hop stands between them and the store. */
-#define ALL_WATCH 8
-/* Of more, two watch, so that one can be lost, and one more for this many: a
- * watcher answers their long polls, three each. */
-#define FOLLOWERS 32
-#define WATCHERS_LEAST 2
+/* Up to this many daemons all watch the store themselves: their calls cost
+ * little, and no hop delays the changes. */
+#define ALL_WATCH_MAX 8
+/* In a larger fleet two daemons watch, so that one can fail, and one more for
+ * every so many daemons: a watcher answers three long polls for each follower.
+ */
+#define FOLLOWERS_PER_WATCHER 32
+#define WATCHERS_MIN 2
 
-/* How many of so many daemons watch; 0 for all. */
+/* How many daemons of a fleet watch the store; 0 for all. */
 size_t
 watch_duty_count(size_t daemons)
 {
-    if (daemons <= ALL_WATCH) {
+    if (daemons <= ALL_WATCH_MAX) {
         return 0;
     }
-    size_t count = WATCHERS_LEAST + daemons / FOLLOWERS;
+    size_t count = WATCHERS_MIN + daemons / FOLLOWERS_PER_WATCHER;
     return count < WATCHERS_MAX ? count : WATCHERS_MAX;
 }
 
-/* A watcher that does not serve is passed over for so long, ms. */
+/* A watcher that failed to serve is avoided for this long, ms. */
 #define AVOIDED_MS 2000
 
-/* Pass a watcher over for a while. */
+/* Avoids a watcher for AVOIDED_MS. */
 void
 watch_duty_avoid(watch_avoided_t *avoided, const char *name, int64_t now_ms)
 {
@@ -58,9 +59,10 @@
     return false;
 }
 
-/* The watcher that a daemon follows, or NULL if it watches itself: it has the
- * duty, or no watcher serves it now.  One in its own data centre is nearer and
- * cheaper; among equals followers spread by rendezvous. */
+/* The watcher that a daemon follows, or NULL if it watches the store itself:
+ * it is a watcher, or all watchers are avoided.  A watcher in its own data
+ * centre is preferred, since it is faster to reach and cheaper; followers
+ * spread over equal ones by rendezvous hashing. */
 const member_t *
 watch_duty_choose(const member_t *owners, size_t count, const char *self,
                   const char *dc, const watch_avoided_t *avoided,
--- a/relay/watch-duty.h
+++ b/relay/watch-duty.h
@@ -1,7 +1,7 @@
 #ifndef CELERYSPOOL_WATCH_DUTY_H
 #define CELERYSPOOL_WATCH_DUTY_H
 
-/* Which daemons watch the platform's store, and which of them the others
+/* How many daemons watch the platform's store, and which of them the others
  * follow.  No I/O. */
 
 #include "../kernel/tables.h"
@@ -9,7 +9,7 @@
 #define WATCHERS_MAX 16
 
 size_t watch_duty_count(size_t daemons);
-/* Watchers that did not serve this daemon lately. */
+/* Watchers that recently failed to serve this daemon. */
 typedef struct {
     struct {
         char name[CS_NAME_MAX];
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -3,49 +3,49 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long the store holds a watch that has nothing to tell, ms.  A store that
- * loses its history may leave a watch waiting that will never hear of what was
- * changed meanwhile, so it is asked anew in this time, well within that for
- * a change of configuration. */
+/* How long the store holds a watch without changes, ms.  A store that has lost
+ * its history may never answer a watch with the changes that it lost, so the
+ * watch is renewed after this time, well within the time allowed for a change
+ * of configuration. */
 #define WATCH_WAIT_MS 2500
-/* A daemon that others hear from asks in this time, and so does one that has
- * just lost the daemon that it heard from, perhaps because the store is away:
- * if the path to the store goes silent, that is to show within two seconds,
- * ms. */
-#define BRIEF_WAIT_MS 1000
-#define BRIEF_SLACK_MS 600
-/* Others count as followers for so long behind their last call, ms. */
-#define SERVING_MS 5000
-/* A daemon that follows another one waits so long for changes, ms, and so much
- * longer for the answer. */
+/* The wait of a daemon that others follow, or that has just lost its upstream,
+ * perhaps because the store is unreachable, and the extra time for the answer,
+ * ms: a silent path to the store must be detected within two seconds. */
+#define SHORT_WAIT_MS 1000
+#define SHORT_WAIT_SLACK_MS 600
+/* A daemon counts as followed for this long after a follower's last call, ms.
+ */
+#define FOLLOWED_MS 5000
+/* How long the upstream holds a follower's watch without changes, and the
+ * extra time for the answer, ms. */
 #define FOLLOW_WAIT_MS 900
 #define FOLLOW_SLACK_MS 300
-/* A daemon that has lost the ones that it follows asks the store for brief
- * answers for so long, ms. */
-#define ALONE_MS 2000
-/* Behind news the next watch waits so long, ms, and brings all that has come
- * meanwhile: each call has its price and wakes the process, and entries of
- * servers change in bursts.  A leaving server must be known within two
- * seconds. */
-#define GATHER_MS 400
-/* The same for a store that did not answer the last time: its return shows
- * within a second instead of three and a half. */
-#define RETURN_WAIT_MS 50
-/* Longest time for an answer beyond that, ms: the store answers in 4, and up
- * to a hundred times as slow it is better heard late than asked again. */
+/* How long a daemon that has lost its upstream uses the short wait, ms; the
+ * loss counts as recent for twice as long. */
+#define UPSTREAM_LOST_MS 2000
+/* After changes the next watch is delayed by this, ms, to get further changes
+ * in one answer: each call has a cost and wakes the process, and entries of
+ * servers change in bursts.  The departure of a server must be known within
+ * two seconds. */
+#define BATCH_DELAY_MS 400
+/* How long the store holds a watch after a failed call, ms: its recovery is
+ * detected within a second instead of three and a half. */
+#define RECOVERY_WAIT_MS 50
+/* Extra time for the answer to a watch, ms: the store answers in 4, and even
+ * at a hundred times that it is better to wait than to ask again. */
 #define WATCH_SLACK_MS 1000
-/* A list is answered in a few ms, by a slow store in some hundred; without it
- * another daemon is asked. */
-#define LIST_MS 700
-#define CONNECT_MS 300
-/* Pauses after a failed call, ms, doubled each time. */
-#define PAUSE_FIRST_MS 50
-#define PAUSE_LAST_MS 1600
-/* Another daemon answers from memory; the store is asked again behind it
- * after this pause, ms. */
-#define OTHER_MS 500
-#define OTHER_PAUSE_MS 300
-#define OTHERS_ASKED_MAX 4
+/* Timeout of a list, ms: the store answers in a few, a slow one in some
+ * hundred.  After this another daemon is asked. */
+#define LIST_TIMEOUT_MS 700
+#define CONNECT_TIMEOUT_MS 300
+/* Backoff after failed calls, ms, doubled each time. */
+#define BACKOFF_MS_MIN 50
+#define BACKOFF_MS_MAX 1600
+/* Timeout of another daemon, which answers from memory, and the shortest delay
+ * after its answer until the store is asked again, ms. */
+#define PEER_TIMEOUT_MS 500
+#define STORE_RETRY_MS_MIN 300
+#define PEER_CALLS_MAX 4
 #define STATUS_GONE 410
 
 typedef enum { WATCH_LISTING, WATCH_WATCHING } watch_state_t;
@@ -57,25 +57,25 @@
     fetch_t *fetch;
     watch_hooks_t hooks;
     char addr[CS_ADDR_MAX];
-    char upstream[CS_ADDR_MAX]; /* that this daemon follows, if it does */
+    char upstream[CS_ADDR_MAX]; /* the daemon that was last followed */
     kind_t kind;
     watch_state_t state;
-    char after[CS_NAME_MAX * 2]; /* name that the list goes on behind */
-    int64_t list_at;             /* revision of the list's first page */
-    int64_t at;                  /* revision to watch from */
-    int status;                  /* of the last answer */
-    int pause_ms;
-    int64_t heard_ms;      /* when the store last answered well */
-    int64_t back_ms;       /* when it did so first after a failure */
-    bool failed;           /* the last call did not bring an answer */
-    bool asks_other;       /* this call goes to any other daemon */
-    bool follows;          /* this call goes to one that watches for it */
-    int64_t serving_ms;    /* others follow this daemon until then */
-    bool fresh;            /* by the store's own word */
-    int64_t alone_ms;      /* it asks the store itself until then */
-    unsigned others_asked; /* since the store was last asked */
+    char list_after[CS_NAME_MAX * 2]; /* last name of the list so far */
+    int64_t list_revision;            /* that of the list's first page */
+    int64_t revision;                 /* to watch from */
+    int status;                       /* of the last answer */
+    int backoff_ms;
+    int64_t answered_ms;       /* last valid answer of the store or upstream */
+    int64_t recovered_ms;      /* the first valid answer after a failure */
+    bool failed;               /* no valid answer since a failed call */
+    bool calls_peer;           /* this call goes to any peer */
+    bool calls_upstream;       /* this call goes to the upstream */
+    int64_t followed_until_ms; /* others follow this daemon */
+    bool fresh;                /* the store itself confirms the revision */
+    int64_t short_wait_until_ms; /* set when an upstream is lost */
+    unsigned peer_calls;         /* since the store was last asked */
     bool listed;
-    uint64_t calls;
+    uint64_t store_calls;
 };
 
 static void watch_call(watch_t *watch);
@@ -100,7 +100,7 @@
 }
 
 static void
-call_later(watch_t *watch, int ms)
+schedule_call(watch_t *watch, int ms)
 {
     struct timeval after = {ms / 1000, ms % 1000 * 1000};
     (void)event_add(watch->timer, &after);
@@ -114,147 +114,148 @@
     watch_call(arg);
 }
 
-/* Notes whether what is known is current, and notifies followers of that and
- * of changes. */
+/* Notes whether the known objects are current, and notifies followers if that
+ * or the objects have changed. */
 static void
-settle(watch_t *watch, bool fresh, bool news)
+update_fresh(watch_t *watch, bool fresh, bool has_changes)
 {
-    bool changed = watch->fresh != fresh;
+    bool fresh_changed = watch->fresh != fresh;
     watch->fresh = fresh;
-    if (changed || news) {
+    if (fresh_changed || has_changes) {
         watch->hooks.on_update(watch->hooks.arg);
     }
 }
 
 static void
-call_other(watch_t *watch, const char *addr)
+call_peer(watch_t *watch, const char *addr)
 {
     CLEAN_BUF buf_t head = {0};
     platform_list_call(&head, addr, watch->kind, "");
     fetch_ask_t ask = {.addr = addr,
                        .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = OTHER_MS,
+                       .connect_ms = CONNECT_TIMEOUT_MS,
+                       .total_ms = PEER_TIMEOUT_MS,
                        .on_done = on_done,
                        .arg = watch};
-    watch->asks_other = true;
+    watch->calls_peer = true;
     watch->status = 0;
     watch->fetch = fetch_start(watch->exchanges, &ask);
 }
 
-/* Time until the next call; it grows, so that a store in trouble is not asked
- * by all hosts at once. */
+/* The delay before the next call; it grows, so that an overloaded store does
+ * not get calls from all hosts at once. */
 static int
-pause_next(watch_t *watch)
+next_backoff(watch_t *watch)
 {
-    int pause_ms = watch->pause_ms;
-    watch->pause_ms =
-        pause_ms * 2 < PAUSE_LAST_MS ? pause_ms * 2 : PAUSE_LAST_MS;
-    return pause_ms;
+    int backoff_ms = watch->backoff_ms;
+    watch->backoff_ms =
+        backoff_ms * 2 < BACKOFF_MS_MAX ? backoff_ms * 2 : BACKOFF_MS_MAX;
+    return backoff_ms;
 }
 
-/* Whether this daemon follows others as a rule, and has lost them. */
+/* Whether this daemon has recently lost an upstream. */
 static bool
 has_lost_upstream(const watch_t *watch)
 {
-    return watch->alone_ms != 0 && time_mono_ms() < watch->alone_ms + ALONE_MS;
+    return watch->short_wait_until_ms != 0 &&
+           time_mono_ms() < watch->short_wait_until_ms + UPSTREAM_LOST_MS;
 }
 
-/* Behind another daemon's answer the store is asked again soon by those that
- * others follow. The rest take longer and longer: they are many, and hear of
- * the store's return from the former. */
+/* After a peer's answer, schedules the next call to the store.  Daemons that
+ * others follow ask it soon.  Followers that have lost their upstream back
+ * off: they are many, and learn of the store's recovery from the former. */
 static void
-call_later_behind_other(watch_t *watch)
+schedule_call_after_peer(watch_t *watch)
 {
-    int pause_ms = has_lost_upstream(watch) ? pause_next(watch) : 0;
-    call_later(watch, pause_ms > OTHER_PAUSE_MS ? pause_ms : OTHER_PAUSE_MS);
+    int backoff_ms = has_lost_upstream(watch) ? next_backoff(watch) : 0;
+    schedule_call(watch, backoff_ms > STORE_RETRY_MS_MIN ? backoff_ms
+                                                         : STORE_RETRY_MS_MIN);
 }
 
 static void
-call_failed(watch_t *watch, const char *why)
+handle_failure(watch_t *watch, const char *why)
 {
     if (!watch->failed) {
         log_record(LOG_WARN, "store", "lost",
                    "kind=%s why=%s status=%d at=%lld", kind_name(watch->kind),
-                   why, watch->status, (long long)watch->at);
+                   why, watch->status, (long long)watch->revision);
     }
-    char other[CS_ADDR_MAX];
+    char peer[CS_ADDR_MAX];
     watch->failed = true;
-    settle(watch, false, false);
-    /* One that has just started itself knows nothing: ask the next. */
-    if (watch->others_asked < OTHERS_ASKED_MAX &&
-        watch->hooks.find_peer != NULL &&
-        watch->hooks.find_peer(watch->hooks.arg, other)) {
-        watch->others_asked++;
-        call_other(watch, other);
+    update_fresh(watch, false, false);
+    /* A peer that has just started knows nothing: ask the next one. */
+    if (watch->peer_calls < PEER_CALLS_MAX && watch->hooks.find_peer != NULL &&
+        watch->hooks.find_peer(watch->hooks.arg, peer)) {
+        watch->peer_calls++;
+        call_peer(watch, peer);
         return;
     }
-    call_later(watch, pause_next(watch));
+    schedule_call(watch, next_backoff(watch));
 }
 
 static void
-list_again(watch_t *watch)
+restart_list(watch_t *watch)
 {
     watch->state = WATCH_LISTING;
-    watch->after[0] = '\0';
+    watch->list_after[0] = '\0';
 }
 
-/* The store answered, or a daemon that it answers. */
+/* Notes a valid answer of the store or of an upstream. */
 static void
-note_heard(watch_t *watch)
+note_answer(watch_t *watch)
 {
-    watch->heard_ms = time_mono_ms();
-    watch->pause_ms = PAUSE_FIRST_MS;
+    watch->answered_ms = time_mono_ms();
+    watch->backoff_ms = BACKOFF_MS_MIN;
     if (watch->failed) {
         watch->failed = false;
-        watch->back_ms = watch->heard_ms;
+        watch->recovered_ms = watch->answered_ms;
         log_record(LOG_INFO, "store", "back", "kind=%s at=%lld followed=%d",
-                   kind_name(watch->kind), (long long)watch->at,
-                   watch->follows);
+                   kind_name(watch->kind), (long long)watch->revision,
+                   watch->calls_upstream);
     }
 }
 
 static void
-take_list_page(watch_t *watch, const store_page_t *page)
+apply_list_page(watch_t *watch, const store_page_t *page)
 {
-    if (watch->after[0] == '\0') {
-        watch->list_at = page->at;
+    if (watch->list_after[0] == '\0') {
+        watch->list_revision = page->at;
         watch->hooks.on_list_begin(watch->hooks.arg);
     }
     for (size_t i = 0; i < page->count; i++) {
         watch->hooks.on_object(watch->hooks.arg, &page->objects[i]);
     }
     if (page->more && page->count > 0) {
-        str_copy(watch->after, sizeof(watch->after),
+        str_copy(watch->list_after, sizeof(watch->list_after),
                  page->objects[page->count - 1].name);
         return;
     }
-    watch->at = watch->list_at;
+    watch->revision = watch->list_revision;
     watch->state = WATCH_WATCHING;
     watch->listed = true;
-    watch->hooks.on_list_end(watch->hooks.arg, watch->at);
+    watch->hooks.on_list_end(watch->hooks.arg, watch->revision);
     log_record(LOG_INFO, "store", "listed", "kind=%s at=%lld",
-               kind_name(watch->kind), (long long)watch->at);
+               kind_name(watch->kind), (long long)watch->revision);
 }
 
-/* Another daemon's list is taken like one of the store, which is still asked.
- * A host that is cut off from the store, or that starts while the store is
- * away, serves by what its peers know. */
+/* Applies a peer's list like one of the store, which is asked again later.
+ * With it a host that is cut off from the store, or that starts while the
+ * store is unreachable, can serve. */
 static void
-take_other(watch_t *watch, const fetch_result_t *result)
+apply_peer_list(watch_t *watch, const fetch_result_t *result)
 {
     store_page_t page;
     err_t err = {0};
     if (platform_page_read(&page, result->text, result->len, &err) != 0) {
-        log_warn("store", "Another daemon's answer cannot be read: %s.",
+        log_warn("store", "Cannot parse the list of another daemon: %s.",
                  err.text);
-        call_failed(watch, "unreadable");
+        handle_failure(watch, "unreadable");
         return;
     }
-    if (watch->listed && page.at < watch->at) {
-        /* It is behind: what it lacks is not gone. */
+    if (watch->listed && page.at < watch->revision) {
+        /* Out of date: objects that it lacks were not removed. */
         platform_page_free(&page);
-        call_later_behind_other(watch);
+        schedule_call_after_peer(watch);
         return;
     }
     watch->hooks.on_list_begin(watch->hooks.arg);
@@ -262,63 +263,68 @@
         watch->hooks.on_object(watch->hooks.arg, &page.objects[i]);
     }
     watch->hooks.on_list_end(watch->hooks.arg, page.at);
-    if (!watch->listed || page.at > watch->at) {
+    if (!watch->listed || page.at > watch->revision) {
         log_record(LOG_INFO, "store", "told-by-peer", "kind=%s at=%lld",
                    kind_name(watch->kind), (long long)page.at);
-        watch->at = page.at;
+        watch->revision = page.at;
     }
     watch->listed = true;
     watch->state = WATCH_WATCHING;
     platform_page_free(&page);
-    call_later_behind_other(watch);
+    schedule_call_after_peer(watch);
 }
 
 static void
-take_answer(watch_t *watch, const fetch_result_t *result)
+apply_answer(watch_t *watch, const fetch_result_t *result)
 {
     store_page_t page;
     err_t err = {0};
     if (platform_page_read(&page, result->text, result->len, &err) != 0) {
-        log_error("store", "An answer on %s cannot be read: %s.",
+        log_error("store", "Cannot parse an answer about %s: %s.",
                   kind_name(watch->kind), err.text);
-        call_failed(watch, "unreadable");
+        handle_failure(watch, "unreadable");
         return;
     }
-    note_heard(watch);
+    note_answer(watch);
     if (watch->state == WATCH_LISTING) {
-        take_list_page(watch, &page);
+        apply_list_page(watch, &page);
     }
     else {
         for (size_t i = 0; i < page.count; i++) {
             watch->hooks.on_object(watch->hooks.arg, &page.objects[i]);
         }
-        watch->at = page.at > watch->at ? page.at : watch->at;
+        watch->revision =
+            page.at > watch->revision ? page.at : watch->revision;
     }
-    /* One that is followed has gathered already. */
-    bool gather = watch->kind == KIND_SERVERS && watch->listed &&
-                  page.count > 0 && !watch->follows;
-    bool news = page.count > 0;
+    /* An upstream has batched the changes already. */
+    bool batch = watch->kind == KIND_SERVERS && watch->listed &&
+                 page.count > 0 && !watch->calls_upstream;
+    bool has_changes = page.count > 0;
     platform_page_free(&page);
-    settle(watch, !watch->follows && watch->state == WATCH_WATCHING, news);
-    if (gather) {
-        call_later(watch, GATHER_MS);
+    update_fresh(watch,
+                 !watch->calls_upstream && watch->state == WATCH_WATCHING,
+                 has_changes);
+    if (batch) {
+        schedule_call(watch, BATCH_DELAY_MS);
         return;
     }
     watch_call(watch);
 }
 
-/* The daemon that was followed is gone, cut off, behind, or has lost the store
- * itself: another one is followed, or the store is asked. */
+/* Leaves an upstream that has ended, is unreachable, lacks the changes since
+ * the revision, or has lost the store itself: the next call goes to another
+ * one or to the store. */
 static void
 unfollow(watch_t *watch)
 {
     log_record(LOG_INFO, "store", "unfollowed", "kind=%s status=%d at=%lld",
-               kind_name(watch->kind), watch->status, (long long)watch->at);
-    watch->alone_ms = time_mono_ms() + ALONE_MS;
+               kind_name(watch->kind), watch->status,
+               (long long)watch->revision);
+    watch->short_wait_until_ms = time_mono_ms() + UPSTREAM_LOST_MS;
     watch->hooks.on_upstream_lost(watch->hooks.arg, watch->upstream,
                                   watch->status != 0);
     if (watch->status == STATUS_GONE) {
-        list_again(watch);
+        restart_list(watch);
     }
     watch_call(watch);
 }
@@ -329,51 +335,52 @@
     watch_t *watch = arg;
     watch->fetch = NULL;
     watch->status = result->status;
-    if (watch->asks_other && result->whole && watch->status == 200) {
-        take_other(watch, result);
+    if (watch->calls_peer && result->whole && watch->status == 200) {
+        apply_peer_list(watch, result);
         return;
     }
-    if (watch->follows && (!result->whole || watch->status != 200)) {
+    if (watch->calls_upstream && (!result->whole || watch->status != 200)) {
         unfollow(watch);
         return;
     }
     if (!result->whole) {
-        call_failed(watch, "no-answer");
+        handle_failure(watch, "no-answer");
         return;
     }
     if (watch->status == STATUS_GONE) {
         log_record(LOG_WARN, "store", "history-gone", "kind=%s at=%lld",
-                   kind_name(watch->kind), (long long)watch->at);
-        list_again(watch);
+                   kind_name(watch->kind), (long long)watch->revision);
+        restart_list(watch);
         watch_call(watch);
         return;
     }
     if (watch->status != 200) {
-        call_failed(watch, "refused");
+        handle_failure(watch, "refused");
         return;
     }
-    take_answer(watch, result);
+    apply_answer(watch, result);
 }
 
-/* Watch through the daemon that watches for this one, if there is one. */
+/* Sends the watch to this daemon's upstream; false if it has none. */
 static bool
 call_upstream(watch_t *watch)
 {
     char *addr = watch->upstream;
     CLEAN_BUF buf_t head = {0};
-    watch->follows = watch->state == WATCH_WATCHING && watch->listed &&
-                     watch->hooks.find_upstream(watch->hooks.arg, addr);
-    if (!watch->follows) {
+    watch->calls_upstream = watch->state == WATCH_WATCHING && watch->listed &&
+                            watch->hooks.find_upstream(watch->hooks.arg, addr);
+    if (!watch->calls_upstream) {
         return false;
     }
-    platform_watch_call(&head, addr, watch->kind, watch->at, FOLLOW_WAIT_MS);
+    platform_watch_call(&head, addr, watch->kind, watch->revision,
+                        FOLLOW_WAIT_MS);
     fetch_ask_t ask = {.addr = addr,
                        .call = &head,
-                       .connect_ms = CONNECT_MS,
+                       .connect_ms = CONNECT_TIMEOUT_MS,
                        .total_ms = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS,
                        .on_done = on_done,
                        .arg = watch};
-    settle(watch, false, false);
+    update_fresh(watch, false, false);
     watch->fetch = fetch_start(watch->exchanges, &ask);
     return true;
 }
@@ -384,23 +391,25 @@
     CLEAN_BUF buf_t head = {0};
     fetch_ask_t ask = {.addr = watch->addr,
                        .call = &head,
-                       .connect_ms = CONNECT_MS,
+                       .connect_ms = CONNECT_TIMEOUT_MS,
                        .on_done = on_done,
                        .arg = watch};
-    watch->calls++;
+    watch->store_calls++;
     if (watch->state == WATCH_LISTING) {
-        platform_list_call(&head, watch->addr, watch->kind, watch->after);
-        ask.total_ms = LIST_MS;
+        platform_list_call(&head, watch->addr, watch->kind, watch->list_after);
+        ask.total_ms = LIST_TIMEOUT_MS;
     }
     else {
         int64_t now = time_mono_ms();
-        bool brief = now < watch->serving_ms || now < watch->alone_ms;
-        int wait_ms = watch->failed ? RETURN_WAIT_MS
-                      : brief       ? BRIEF_WAIT_MS
+        bool short_wait =
+            now < watch->followed_until_ms || now < watch->short_wait_until_ms;
+        int wait_ms = watch->failed ? RECOVERY_WAIT_MS
+                      : short_wait  ? SHORT_WAIT_MS
                                     : WATCH_WAIT_MS;
-        platform_watch_call(&head, watch->addr, watch->kind, watch->at,
+        platform_watch_call(&head, watch->addr, watch->kind, watch->revision,
                             wait_ms);
-        ask.total_ms = wait_ms + (brief ? BRIEF_SLACK_MS : WATCH_SLACK_MS);
+        ask.total_ms =
+            wait_ms + (short_wait ? SHORT_WAIT_SLACK_MS : WATCH_SLACK_MS);
     }
     watch->fetch = fetch_start(watch->exchanges, &ask);
 }
@@ -408,15 +417,15 @@
 static void
 watch_call(watch_t *watch)
 {
-    watch->asks_other = false;
-    watch->others_asked = 0;
+    watch->calls_peer = false;
+    watch->peer_calls = 0;
     watch->status = 0;
     if (!call_upstream(watch)) {
         call_store(watch);
     }
 }
 
-/* Begin with a whole list. */
+/* Starts to follow a kind, with a whole list. */
 watch_t *
 watch_start(struct event_base *base, exchanges_t *exchanges, const char *addr,
             kind_t kind, const watch_hooks_t *hooks)
@@ -426,7 +435,7 @@
     watch->exchanges = exchanges;
     watch->hooks = *hooks;
     watch->kind = kind;
-    watch->pause_ms = PAUSE_FIRST_MS;
+    watch->backoff_ms = BACKOFF_MS_MIN;
     str_copy(watch->addr, sizeof(watch->addr), addr);
     watch->timer = evtimer_new(base, on_timer, watch);
     watch_call(watch);
@@ -446,15 +455,15 @@
 int64_t
 watch_answered_ms(const watch_t *watch)
 {
-    return watch->heard_ms;
+    return watch->answered_ms;
 }
 
-/* When the store answered again after it had not; 0 if it always did, and the
- * time now while it does not. */
+/* When the store last answered again after a failure; 0 if no call has failed,
+ * and the current time while calls fail. */
 int64_t
 watch_recovered_ms(const watch_t *watch)
 {
-    return watch->failed ? time_mono_ms() : watch->back_ms;
+    return watch->failed ? time_mono_ms() : watch->recovered_ms;
 }
 
 bool
@@ -463,30 +472,31 @@
     return watch->listed;
 }
 
-/* Whether what is known is the store's own word, no older than an answer
- * takes. */
+/* Whether the known objects are current by the store's own answers, not
+ * through an upstream or a peer. */
 bool
 watch_is_fresh(const watch_t *watch)
 {
     return watch->fresh;
 }
 
-/* Others follow this daemon: it checks its path to the store more often. */
+/* Notes that another daemon follows this one, which then checks its path to
+ * the store more often. */
 void
 watch_note_follower(watch_t *watch)
 {
-    watch->serving_ms = time_mono_ms() + SERVING_MS;
+    watch->followed_until_ms = time_mono_ms() + FOLLOWED_MS;
 }
 
 uint64_t
 watch_calls(const watch_t *watch)
 {
-    return watch->calls;
+    return watch->store_calls;
 }
 
 /* The revision up to which the objects are known. */
 int64_t
 watch_revision(const watch_t *watch)
 {
-    return watch->at;
+    return watch->revision;
 }
--- a/relay/watch.h
+++ b/relay/watch.h
@@ -2,8 +2,8 @@
 #define CELERYSPOOL_WATCH_H
 
 /* Follows all objects of one kind in the platform's store: a whole list, then
- * a watch from its revision on, and a list again where the store no longer
- * has that history. */
+ * a watch from its revision on, and another list if the store no longer has
+ * the changes since that revision. */
 
 #include "../platform/platform.h"
 #include "../kernel/fetch.h"
@@ -11,24 +11,25 @@
 typedef struct watch watch_t;
 
 typedef struct {
-    /* A whole list follows. */
+    /* A whole list begins. */
     void (*on_list_begin)(void *arg);
-    /* An object of the list, or one that has changed or was removed.  Older
-     * revisions may come behind newer ones. */
+    /* An object of the list, or one that was changed or removed.  Older
+     * revisions may arrive after newer ones. */
     void (*on_object)(void *arg, const store_object_t *object);
-    /* The list is complete: what was not on it was not there at this revision
-     * of the store. */
-    void (*on_list_end)(void *arg, int64_t at);
-    /* The address of another daemon that may know the same objects while the
-     * store does not answer; false if there is none. */
+    /* The list is complete: objects that were not on it did not exist at this
+     * revision of the store. */
+    void (*on_list_end)(void *arg, int64_t revision);
+    /* Finds the address of another daemon that may know the same objects, for
+     * when the store does not answer; false if there is none. */
     bool (*find_peer)(void *arg, char addr[CS_ADDR_MAX]);
-    /* The address of a daemon that watches the store for this one too; false
-     * if it watches for itself. */
+    /* Finds the address of the daemon whose watches this one follows; false if
+     * this one watches the store itself. */
     bool (*find_upstream)(void *arg, char addr[CS_ADDR_MAX]);
-    /* That daemon does not serve; answered: it said so itself. */
+    /* The followed daemon does not serve this one; answered: it sent an error,
+     * else it did not answer. */
     void (*on_upstream_lost)(void *arg, const char *addr, bool answered);
-    /* Objects have changed, or what is known is no longer current: followers
-     * are to be notified. */
+    /* Objects have changed, or are now known to be current or no longer so:
+     * followers are to be notified. */
     void (*on_update)(void *arg);
     void *arg;
 } watch_hooks_t;
--- a/tests/test-object-cache.c
+++ b/tests/test-object-cache.c
@@ -17,11 +17,11 @@
     return object != NULL ? platform_revision(object) : 0;
 }
 
-/* Servers that live get no new weights: while the store was away a daemon took
- * a list of another one that was behind, lost the entries that it knew in a
- * newer form, and told its own list on to the daemon that gives the orders,
- * which took them for gone. */
-START_TEST(a_list_that_is_behind_loses_nothing)
+/* Guards against live servers that get no new weights: while the store is
+ * unreachable, a daemon applies an outdated list of another one and loses
+ * entries that it knew at newer revisions.  Then it serves its own list to the
+ * daemon that orders the loads, which treats their servers as removed. */
+START_TEST(outdated_list_keeps_newer_objects)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     object_cache_t *cache = object_cache_new(relay);
@@ -42,4 +42,4 @@
 }
 END_TEST
 
-TEST_MAIN("object-cache", a_list_that_is_behind_loses_nothing)
+TEST_MAIN("object-cache", outdated_list_keeps_newer_objects)
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static relay_t *
-relay_with(const char *id, server_t **server)
+relay_new_with_server(const char *id, server_t **server)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     server_entry_t entry = {.slots = 4, .engine = true, .weights = 1};
@@ -19,7 +19,7 @@
 }
 
 static void
-relay_without(relay_t *relay)
+relay_free(relay_t *relay)
 {
     servers_free(relay->servers);
     cache_map_free(relay->cache);
@@ -28,7 +28,7 @@
 }
 
 static peer_fact_t
-load_of(const char *id)
+make_load(const char *id)
 {
     peer_fact_t fact = {.is_load = true};
     str_copy(fact.backend, sizeof(fact.backend), id);
@@ -36,12 +36,12 @@
     return fact;
 }
 
-/* A part that another host's request used is held; one that is only being
- * read cannot be fetched yet, and must not count as held. */
-START_TEST(parts_that_others_use_are_held)
+/* A part that another host's request used counts as held.  One that is still
+ * being prefilled cannot be fetched yet and must not count. */
+START_TEST(parts_used_by_peers_are_held)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
@@ -51,38 +51,39 @@
     peers_apply(relay, 1, &fact);
     ck_assert(!cached_parts_has(server->held, 6));
     ck_assert(cache_map_knows(relay->cache, 6));
-    relay_without(relay);
+    relay_free(relay);
 }
 END_TEST
 
-/* A host that is new, or knows another configuration, speaks of servers and
- * stores that are not known here, or of nobody: nothing comes of it. */
-START_TEST(words_about_strangers_do_nothing)
+/* A peer may know servers or stores that this host does not know yet, as when
+ * it has another configuration, and a fact may lack a holder.  Such facts are
+ * ignored. */
+START_TEST(facts_about_unknown_holders_are_ignored)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
     peers_apply(relay, 1, &fact);
     str_copy(fact.backend, sizeof(fact.backend), "b");
     peers_apply(relay, 1, &fact);
-    peer_fact_t load = load_of("b");
+    peer_fact_t load = make_load("b");
     peers_apply(relay, 1, &load);
     ck_assert(!cached_parts_has(server->held, 5));
     ck_assert(!cache_map_knows(relay->cache, 5));
-    relay_without(relay);
+    relay_free(relay);
 }
 END_TEST
 
-/* A server is left alone while another host says that it loads weights, and
- * what it held is lost once it is on newer ones.  What the server says of its
- * slots is believed by the word of that host too. */
-START_TEST(loads_and_weights_of_others_count)
+/* While a peer reports that a server is loading weights it gets no requests,
+ * and its cached parts are forgotten once it has newer weights.  The load that
+ * the server reported to that peer is applied too. */
+START_TEST(loads_and_weights_from_peers_are_applied)
 {
     server_t *server;
-    relay_t *relay = relay_with("a", &server);
+    relay_t *relay = relay_new_with_server("a", &server);
     const cached_part_t part = {.key = 5, .prompt_tokens = 9, .tokens = 9};
     cached_parts_use(server->held, &part);
-    peer_fact_t load = load_of("a");
+    peer_fact_t load = make_load("a");
     load.load.running = 2;
     load.load.at_server = 6;
     str_copy(load.load.version, sizeof(load.load.version), "1");
@@ -92,15 +93,16 @@
     ck_assert_int_eq(server_running(server, time_mono_ms()), 2);
     ck_assert_int_eq(server_places_taken(server, time_mono_ms()), 6);
     ck_assert(cached_parts_has(server->held, 5));
-    load = load_of("a");
+    load = make_load("a");
     str_copy(load.load.version, sizeof(load.load.version), "2");
     peers_apply(relay, 1, &load);
     ck_assert_int_eq(server->loading_ms, 0);
     ck_assert_int_eq(server->info.weights, 2);
     ck_assert(!cached_parts_has(server->held, 5));
-    relay_without(relay);
+    relay_free(relay);
 }
 END_TEST
 
-TEST_MAIN("peers-apply", parts_that_others_use_are_held,
-          words_about_strangers_do_nothing, loads_and_weights_of_others_count)
+TEST_MAIN("peers-apply", parts_used_by_peers_are_held,
+          facts_about_unknown_holders_are_ignored,
+          loads_and_weights_from_peers_are_applied)
--- a/tests/test-watch-duty.c
+++ b/tests/test-watch-duty.c
@@ -4,10 +4,10 @@
 #include <stdio.h>
 #include <string.h>
 
-static const watch_avoided_t none;
+static const watch_avoided_t none_avoided;
 
 static member_t
-owner(const char *name, const char *dc)
+make_owner(const char *name, const char *dc)
 {
     member_t member = {0};
     str_copy(member.name, sizeof(member.name), name);
@@ -15,9 +15,9 @@
     return member;
 }
 
-/* The store's rate does not grow with the fleet: few watch, and none of them
- * is asked by more daemons than it can answer. */
-START_TEST(few_watch_and_none_has_too_many_followers)
+/* The store's rate limit does not grow with the fleet: few daemons watch, and
+ * none has more followers than it can answer. */
+START_TEST(watchers_are_few_and_followers_bounded)
 {
     ck_assert_uint_eq(watch_duty_count(1), 0);
     ck_assert_uint_eq(watch_duty_count(8), 0);
@@ -32,45 +32,49 @@
 }
 END_TEST
 
-/* A daemon with the duty watches itself; others hear from one in their own
- * data centre where there is one. */
-START_TEST(the_nearest_watcher_is_followed)
+/* A watcher watches the store itself; the others follow a watcher in their own
+ * data centre if there is one. */
+START_TEST(watcher_in_own_dc_is_preferred)
 {
-    member_t owners[] = {owner("a-1", "dc-a"), owner("b-1", "dc-b"),
-                         owner("b-2", "dc-b")};
-    ck_assert_ptr_null(watch_duty_choose(owners, 3, "b-1", "dc-b", &none, 0));
-    ck_assert_ptr_null(watch_duty_choose(owners, 0, "x", "dc-a", &none, 0));
+    member_t owners[] = {make_owner("a-1", "dc-a"), make_owner("b-1", "dc-b"),
+                         make_owner("b-2", "dc-b")};
+    ck_assert_ptr_null(
+        watch_duty_choose(owners, 3, "b-1", "dc-b", &none_avoided, 0));
+    ck_assert_ptr_null(
+        watch_duty_choose(owners, 0, "x", "dc-a", &none_avoided, 0));
+    ck_assert_str_eq(
+        watch_duty_choose(owners, 3, "a-7", "dc-a", &none_avoided, 0)->name,
+        "a-1");
     ck_assert_str_eq(
-        watch_duty_choose(owners, 3, "a-7", "dc-a", &none, 0)->name, "a-1");
-    ck_assert_str_eq(watch_duty_choose(owners, 3, "b-7", "dc-b", &none, 0)->dc,
-                     "dc-b");
+        watch_duty_choose(owners, 3, "b-7", "dc-b", &none_avoided, 0)->dc,
+        "dc-b");
     ck_assert_ptr_nonnull(
-        watch_duty_choose(owners, 3, "c-1", "dc-c", &none, 0));
+        watch_duty_choose(owners, 3, "c-1", "dc-c", &none_avoided, 0));
 }
 END_TEST
 
-/* Of equal watchers none gets nearly all of the others. */
-START_TEST(followers_spread)
+/* No watcher gets nearly all followers of equal watchers. */
+START_TEST(followers_spread_evenly)
 {
-    member_t owners[] = {owner("b-1", "dc-b"), owner("b-2", "dc-b")};
+    member_t owners[] = {make_owner("b-1", "dc-b"), make_owner("b-2", "dc-b")};
     int first = 0;
     for (int i = 0; i < 200; i++) {
         char name[32];
         (void)snprintf(name, sizeof(name), "b-%d", i + 10);
-        first +=
-            watch_duty_choose(owners, 2, name, "dc-b", &none, 0) == &owners[0];
+        first += watch_duty_choose(owners, 2, name, "dc-b", &none_avoided,
+                                   0) == &owners[0];
     }
     ck_assert_int_gt(first, 60);
     ck_assert_int_lt(first, 140);
 }
 END_TEST
 
-/* Guards against a fleet that asks a store which has turned one watcher away:
- * its followers go to the next watcher, and come back to it later. */
-START_TEST(a_watcher_that_lost_the_store_is_passed_over)
+/* Guards against a fleet that asks the store itself as soon as one watcher has
+ * lost it: followers go to another watcher, and return later. */
+START_TEST(failed_watcher_is_avoided)
 {
-    member_t owners[] = {owner("a-1", "dc-a"), owner("b-1", "dc-b"),
-                         owner("b-2", "dc-b")};
+    member_t owners[] = {make_owner("a-1", "dc-a"), make_owner("b-1", "dc-b"),
+                         make_owner("b-2", "dc-b")};
     watch_avoided_t avoided = {0};
     int64_t now = 50000;
     watch_duty_avoid(&avoided, "a-1", now);
@@ -88,6 +92,6 @@
 }
 END_TEST
 
-TEST_MAIN("watch-duty", few_watch_and_none_has_too_many_followers,
-          the_nearest_watcher_is_followed, followers_spread,
-          a_watcher_that_lost_the_store_is_passed_over)
+TEST_MAIN("watch-duty", watchers_are_few_and_followers_bounded,
+          watcher_in_own_dc_is_preferred, followers_spread_evenly,
+          failed_watcher_is_avoided)
