--- a/relay/cache-events.c
+++ b/relay/cache-events.c
@@ -16,7 +16,7 @@
                                    event->salt);
     const cached_part_t part = {
         .key = key, .prompt_tokens = event->tokens, .tokens = event->tokens};
-    bool there = event->grew && event->tokens > 0;
+    bool there = event->added && event->tokens > 0;
     relay->meter.cache_events++;
     if (!cache_map_knows(relay->cache, key)) {
         if (there) {
@@ -30,7 +30,7 @@
     if (there) {
         cache_appeared(relay, holder, &part);
     }
-    else if (!event->grew && cache_evicted(relay, holder, key)) {
+    else if (!event->added && cache_evicted(relay, holder, key)) {
         relay->meter.cache_evicted++;
         relay->notify_part(relay->peers, holder, &part, false);
     }
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -40,7 +40,7 @@
     cached_parts_t
         *unasked; /* held, and no request is known to ask for them */
     bool listed;  /* place is known */
-    cache_place_t place;
+    cache_position_t place;
     int64_t next_ms;
     fetch_t *fetch;
     bool lost;     /* the last call brought nothing */
@@ -91,7 +91,7 @@
 take_answer(follow_t *follow, const fetch_result_t *result)
 {
     err_t err = {0};
-    cache_place_t place = {0};
+    cache_position_t place = {0};
     bool listing = !follow->listed;
     if (listing) {
         cached_parts_forget(follow->unasked);
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -21,7 +21,7 @@
 service_of(const relay_t *relay, const server_t *server)
 {
     return relay->config != NULL
-               ? relay_config_service(relay->config, server->info.service)
+               ? relay_config_find_service(relay->config, server->info.service)
                : NULL;
 }
 
@@ -38,7 +38,7 @@
 {
     const kv_store_t *store = &relay->stores.all[number - KV_STORE_NUMBER];
     return relay->config != NULL && store->held != NULL
-               ? relay_config_service(relay->config, store->name)
+               ? relay_config_find_service(relay->config, store->name)
                : NULL;
 }
 
@@ -63,14 +63,14 @@
 static double
 token_ms(const relay_service_t *from, const relay_service_t *to, bool same_dc)
 {
-    if (from == NULL || to == NULL || to->token_bytes <= 0 ||
+    if (from == NULL || to == NULL || to->bytes_per_token <= 0 ||
         from->link_bits_per_ms <= 0 || to->link_bits_per_ms <= 0) {
         return FETCH_UNKNOWN_MS;
     }
     double link = from->link_bits_per_ms < to->link_bits_per_ms
                       ? from->link_bits_per_ms
                       : to->link_bits_per_ms;
-    double ms = (double)to->token_bytes * BITS_PER_BYTE / link;
+    double ms = (double)to->bytes_per_token * BITS_PER_BYTE / link;
     return same_dc ? ms : ms * FETCH_OTHER_DC;
 }
 
@@ -444,11 +444,11 @@
     }
     unsigned kept = levels_held(store->held, prefix, 0, shared);
     uint32_t total = prefix->levels[shared - 1].tokens;
-    bool told = from != NULL && from->token_bytes > 0;
+    bool told = from != NULL && from->bytes_per_token > 0;
     save_ask_t ask = {
         .link_tokens_per_ms =
             told ? (double)to->link_bits_per_ms /
-                       ((double)from->token_bytes * BITS_PER_BYTE)
+                       ((double)from->bytes_per_token * BITS_PER_BYTE)
                  : 0,
         .hosts = peers_live(relay->peers),
         .same_dc = strcmp(to->dc, server->info.dc) == 0,
--- a/relay/kv-stores.c
+++ b/relay/kv-stores.c
@@ -6,7 +6,7 @@
 static bool
 is_named(const relay_config_t *config, const char *name)
 {
-    const relay_service_t *service = relay_config_service(config, name);
+    const relay_service_t *service = relay_config_find_service(config, name);
     return service != NULL && service->kv_store;
 }
 
--- a/relay/lease.c
+++ b/relay/lease.c
@@ -31,7 +31,7 @@
 {
     memset(lease, 0, sizeof(*lease));
     str_copy(lease->self, sizeof(lease->self), self);
-    lease->span_ms = span_ms;
+    lease->duration_ms = span_ms;
 }
 
 static bool
@@ -43,40 +43,42 @@
 static int64_t
 look_ms(const lease_t *lease)
 {
-    return lease->turn_ms < LOOK_NEAR_RANKS * TURN_MS ? LOOK_MS : LOOK_FAR_MS;
+    return lease->takeover_delay_ms < LOOK_NEAR_RANKS * TURN_MS ? LOOK_MS
+                                                                : LOOK_FAR_MS;
 }
 
 /* What to ask the store now.  A holder whose process was suspended finds its
  * span over by the clock, and takes the lease anew under a higher number if
  * nobody else has. */
 lease_step_t
-lease_next(const lease_t *lease, int64_t now_ms)
+lease_next_step(const lease_t *lease, int64_t now_ms)
 {
-    if ((lease->leaving && !is_mine(lease)) || now_ms < lease->not_before_ms) {
+    if ((lease->releasing && !is_mine(lease)) ||
+        now_ms < lease->backoff_until_ms) {
         return LEASE_IDLE;
     }
-    bool look =
-        lease->read_ms == 0 || now_ms - lease->read_ms >= look_ms(lease);
-    if (lease->pending || !lease->known) {
-        if (lease->absent && !lease->pending) {
+    bool look = lease->read_sent_ms == 0 ||
+                now_ms - lease->read_sent_ms >= look_ms(lease);
+    if (lease->outcome_unknown || !lease->known) {
+        if (lease->absent && !lease->outcome_unknown) {
             return LEASE_CREATE;
         }
         return look ? LEASE_READ : LEASE_IDLE;
     }
-    if (lease->leaving) {
+    if (lease->releasing) {
         return LEASE_WRITE;
     }
     if (lease->holder[0] == '\0' &&
-        now_ms - lease->seen_ms >= lease->turn_ms) {
+        now_ms - lease->unchanged_since_ms >= lease->takeover_delay_ms) {
         return LEASE_WRITE; /* it was given back */
     }
     if (is_mine(lease)) {
-        return now_ms - lease->wrote_ms >= lease->span_ms / RENEWS
+        return now_ms - lease->renewed_ms >= lease->duration_ms / RENEWS
                    ? LEASE_WRITE
                    : LEASE_IDLE;
     }
-    if (now_ms - lease->seen_ms >=
-        lease->span_ms + MARGIN_MS + lease->turn_ms) {
+    if (now_ms - lease->unchanged_since_ms >=
+        lease->duration_ms + MARGIN_MS + lease->takeover_delay_ms) {
         return LEASE_WRITE;
     }
     return look ? LEASE_READ : LEASE_IDLE;
@@ -86,34 +88,34 @@
  * a large fleet took it at once, all but one write would be in vain, each with
  * its price, at the very moment at which the store is back from an outage. */
 void
-lease_take_turn(lease_t *lease, size_t rank)
+lease_set_rank(lease_t *lease, size_t rank)
 {
     int64_t turn = (int64_t)rank * TURN_MS;
-    lease->turn_ms = turn < TURN_LAST_MS ? turn : TURN_LAST_MS;
+    lease->takeover_delay_ms = turn < TURN_LAST_MS ? turn : TURN_LAST_MS;
 }
 
 /* A call brought nothing. */
 void
-lease_failed(lease_t *lease, int64_t now_ms)
+lease_call_failed(lease_t *lease, int64_t now_ms)
 {
-    lease->not_before_ms =
+    lease->backoff_until_ms =
         now_ms + (is_mine(lease) ? FAILED_HOLDER_MS : FAILED_OTHER_MS);
 }
 
 /* A step is about to be sent.  A holder that renews in time keeps its fencing
  * number; everybody else takes the next. */
 void
-lease_asked(lease_t *lease, lease_step_t step, int64_t now_ms)
+lease_step_sent(lease_t *lease, lease_step_t step, int64_t now_ms)
 {
     if (step == LEASE_READ) {
-        lease->read_ms = now_ms;
+        lease->read_sent_ms = now_ms;
         return;
     }
-    bool in_time = is_mine(lease) && lease->wrote_ms != 0 &&
-                   now_ms - lease->wrote_ms < lease->span_ms;
-    lease->asked_ms = now_ms;
+    bool in_time = is_mine(lease) && lease->renewed_ms != 0 &&
+                   now_ms - lease->renewed_ms < lease->duration_ms;
+    lease->write_sent_ms = now_ms;
     lease->writes++;
-    lease->wanted_fence = in_time ? lease->fence : lease->fence + 1;
+    lease->requested_fence = in_time ? lease->fence : lease->fence + 1;
 }
 
 /* The object as the store holds it, by whatever answer.  If it is what this
@@ -122,27 +124,27 @@
  * than the successor's wait, and both would act for a while.  The count of
  * writes tells them apart. */
 void
-lease_observe(lease_t *lease, const lease_view_t *view, int64_t now_ms)
+lease_observe(lease_t *lease, const lease_record_t *view, int64_t now_ms)
 {
     lease->absent = false;
     if (lease->known && view->revision < lease->revision) {
         return; /* a read that is behind */
     }
     bool changed = !lease->known || view->revision != lease->revision;
-    bool written = changed && lease->asked_ms != 0 &&
+    bool written = changed && lease->write_sent_ms != 0 &&
                    strcmp(view->holder, lease->self) == 0 &&
-                   view->fence == lease->wanted_fence &&
+                   view->fence == lease->requested_fence &&
                    view->writes == lease->writes;
     lease->known = true;
-    lease->pending = false;
+    lease->outcome_unknown = false;
     lease->revision = view->revision;
     lease->fence = view->fence;
     str_copy(lease->holder, sizeof(lease->holder), view->holder);
     if (changed) {
-        lease->seen_ms = now_ms;
+        lease->unchanged_since_ms = now_ms;
     }
     if (written) {
-        lease->wrote_ms = lease->asked_ms;
+        lease->renewed_ms = lease->write_sent_ms;
     }
 }
 
@@ -150,37 +152,37 @@
 lease_observe_absent(lease_t *lease)
 {
     lease->absent = true;
-    lease->pending = false;
+    lease->outcome_unknown = false;
 }
 
 /* A write got no answer: it may have been done, or may be done later.  The
  * object tells. */
 void
-lease_unanswered(lease_t *lease)
+lease_set_outcome_unknown(lease_t *lease)
 {
-    lease->pending = true;
-    lease->read_ms = 0;
+    lease->outcome_unknown = true;
+    lease->read_sent_ms = 0;
 }
 
 /* The process stops: give the lease back, so that a successor need not wait
  * until it has run out.  It acts on it no more. */
 void
-lease_leave(lease_t *lease)
+lease_release(lease_t *lease)
 {
-    lease->leaving = true;
+    lease->releasing = true;
 }
 
 /* The holder that a write now names; nobody where the lease is given back. */
 const char *
-lease_writes_holder(const lease_t *lease)
+lease_requested_holder(const lease_t *lease)
 {
-    return lease->leaving ? "" : lease->self;
+    return lease->releasing ? "" : lease->self;
 }
 
 /* Whether this process may act on the lease now. */
 bool
-lease_held(const lease_t *lease, int64_t now_ms)
+lease_is_held(const lease_t *lease, int64_t now_ms)
 {
-    return is_mine(lease) && !lease->leaving && lease->wrote_ms != 0 &&
-           now_ms - lease->wrote_ms < lease->span_ms / ACT_PART;
+    return is_mine(lease) && !lease->releasing && lease->renewed_ms != 0 &&
+           now_ms - lease->renewed_ms < lease->duration_ms / ACT_PART;
 }
--- a/relay/lease.h
+++ b/relay/lease.h
@@ -22,11 +22,11 @@
     const char *holder; /* empty when it was given back */
     int64_t fence;
     int64_t writes; /* the holder's count of its writes, this one included */
-} lease_view_t;
+} lease_record_t;
 
 typedef struct {
     char self[LEASE_HOLDER_MAX];
-    int64_t span_ms;
+    int64_t duration_ms;
 
     /* The object as it was last seen. */
     bool known;
@@ -34,29 +34,29 @@
     int64_t revision;
     int64_t fence;
     char holder[LEASE_HOLDER_MAX];
-    int64_t seen_ms; /* since when it has been seen unchanged */
-
-    int64_t turn_ms;       /* that it leaves others to take a free lease */
-    int64_t read_ms;       /* when it was last asked for */
-    int64_t wrote_ms;      /* when the last good write was sent; 0 for none */
-    int64_t asked_ms;      /* when the write under way was sent */
-    int64_t not_before_ms; /* nothing is asked before, behind a failure */
-    int64_t wanted_fence;  /* that the last write sets */
-    int64_t writes;        /* so far; in each, so that no two are equal */
-    bool pending;          /* a write whose answer did not come */
-    bool leaving;          /* it is to be given back */
+    int64_t unchanged_since_ms; /* since when it has been seen unchanged */
+
+    int64_t takeover_delay_ms; /* that it leaves others to take a free lease */
+    int64_t read_sent_ms;      /* when it was last asked for */
+    int64_t renewed_ms;    /* when the last good write was sent; 0 for none */
+    int64_t write_sent_ms; /* when the write under way was sent */
+    int64_t backoff_until_ms; /* nothing is asked before, behind a failure */
+    int64_t requested_fence;  /* that the last write sets */
+    int64_t writes;           /* so far; in each, so that no two are equal */
+    bool outcome_unknown;     /* a write whose answer did not come */
+    bool releasing;           /* it is to be given back */
 } lease_t;
 
 void lease_init(lease_t *lease, const char *self, int64_t span_ms);
-lease_step_t lease_next(const lease_t *lease, int64_t now_ms);
-void lease_take_turn(lease_t *lease, size_t rank);
-void lease_failed(lease_t *lease, int64_t now_ms);
-void lease_asked(lease_t *lease, lease_step_t step, int64_t now_ms);
-void lease_observe(lease_t *lease, const lease_view_t *view, int64_t now_ms);
+lease_step_t lease_next_step(const lease_t *lease, int64_t now_ms);
+void lease_set_rank(lease_t *lease, size_t rank);
+void lease_call_failed(lease_t *lease, int64_t now_ms);
+void lease_step_sent(lease_t *lease, lease_step_t step, int64_t now_ms);
+void lease_observe(lease_t *lease, const lease_record_t *view, int64_t now_ms);
 void lease_observe_absent(lease_t *lease);
-void lease_unanswered(lease_t *lease);
-void lease_leave(lease_t *lease);
-const char *lease_writes_holder(const lease_t *lease);
-bool lease_held(const lease_t *lease, int64_t now_ms);
+void lease_set_outcome_unknown(lease_t *lease);
+void lease_release(lease_t *lease);
+const char *lease_requested_holder(const lease_t *lease);
+bool lease_is_held(const lease_t *lease, int64_t now_ms);
 
 #endif
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -22,7 +22,7 @@
     object_cache_t *cache;
     caller_t *caller;
     struct event *timer;
-    kind_t kind;
+    object_kind_t kind;
     int64_t from;
 } waiter_t;
 
@@ -60,7 +60,7 @@
 }
 
 static watch_t *
-watch_of(const object_cache_t *cache, kind_t kind)
+watch_of(const object_cache_t *cache, object_kind_t kind)
 {
     const relay_t *relay = cache->relay;
     watch_t *watches[KINDS_CACHED] = {
@@ -76,15 +76,15 @@
         return;
     }
     const json_t *old = json_object_get(objects, object->name);
-    if (old == NULL || platform_revision(old) <= object->revision) {
+    if (old == NULL || platform_object_revision(old) <= object->revision) {
         (void)json_object_set_new(objects, object->name,
-                                  platform_object(object));
+                                  platform_encode_object(object));
     }
 }
 
 /* Keep an object as the store gave it. */
 void
-object_cache_put(object_cache_t *cache, kind_t kind,
+object_cache_put(object_cache_t *cache, object_kind_t kind,
                  const store_object_t *object)
 {
     object_cache_kind_t *own = &cache->kinds[kind];
@@ -93,7 +93,7 @@
         return;
     }
     put_object(own->objects, object);
-    (void)json_array_append_new(own->changes, platform_change(object));
+    (void)json_array_append_new(own->changes, platform_encode_change(object));
     if (json_array_size(own->changes) > CHANGES_MAX) {
         own->since = platform_change_revision(json_array_get(own->changes, 0));
         (void)json_array_remove(own->changes, 0);
@@ -102,7 +102,7 @@
 
 /* A whole list comes in. */
 void
-object_cache_list(object_cache_t *cache, kind_t kind)
+object_cache_list(object_cache_t *cache, object_kind_t kind)
 {
     object_cache_kind_t *own = &cache->kinds[kind];
     json_decref(own->listing);
@@ -120,8 +120,8 @@
     json_t *object;
     json_object_foreach (own->objects, name, object) {
         const json_t *listed = json_object_get(own->listing, name);
-        int64_t told = listed != NULL ? platform_revision(listed) : at;
-        if (platform_revision(object) > told) {
+        int64_t told = listed != NULL ? platform_object_revision(listed) : at;
+        if (platform_object_revision(object) > told) {
             (void)json_object_set(own->listing, name, object);
         }
     }
@@ -130,7 +130,7 @@
 /* It is complete: what was not on it is gone, and what changed on the way to
  * it is not known one by one. */
 void
-object_cache_listed(object_cache_t *cache, kind_t kind, int64_t at)
+object_cache_listed(object_cache_t *cache, object_kind_t kind, int64_t at)
 {
     object_cache_kind_t *own = &cache->kinds[kind];
     if (own->listing == NULL) {
@@ -146,7 +146,7 @@
 
 /* The objects of a kind by name. */
 const json_t *
-object_cache_objects(const object_cache_t *cache, kind_t kind)
+object_cache_objects(const object_cache_t *cache, object_kind_t kind)
 {
     return cache->kinds[kind].objects;
 }
@@ -185,7 +185,7 @@
  * own word is passed on: a daemon that is cut off from the store would else
  * keep its followers on what it has. */
 static int
-look(const object_cache_t *cache, kind_t kind, int64_t from, bool over,
+look(const object_cache_t *cache, object_kind_t kind, int64_t from, bool over,
      json_t **page)
 {
     const object_cache_kind_t *own = &cache->kinds[kind];
@@ -202,7 +202,7 @@
         json_decref(changes);
         return 0;
     }
-    *page = platform_changes(changes, watch_at(watch));
+    *page = platform_encode_changes(changes, watch_at(watch));
     return 200;
 }
 
@@ -248,7 +248,7 @@
 /* Answers the followers that wait: a kind has changed, or the store was lost
  * or is back. */
 void
-object_cache_notify(object_cache_t *cache, kind_t kind)
+object_cache_notify(object_cache_t *cache, object_kind_t kind)
 {
     waiter_t *waiter;
     waiter_t *next;
@@ -269,7 +269,7 @@
     waiter->cache = cache;
     waiter->caller = caller;
     waiter->kind = query->kind;
-    waiter->from = query->from;
+    waiter->from = query->after_revision;
     waiter->timer = evtimer_new(cache->relay->base, on_wait_over, waiter);
     (void)event_add(waiter->timer, &after);
     CK_LIST_INSERT_HEAD(&cache->waiters, waiter, entry);
@@ -292,16 +292,16 @@
         return true;
     }
     watch_t *watch = watch_of(cache, query.kind);
-    if (!query.watches) {
-        answer(
-            caller, 200,
-            platform_page(cache->kinds[query.kind].objects, watch_at(watch)));
+    if (!query.is_watch) {
+        answer(caller, 200,
+               platform_encode_page(cache->kinds[query.kind].objects,
+                                    watch_at(watch)));
         return true;
     }
     watch_serves(watch);
     json_t *page;
-    int status =
-        look(cache, query.kind, query.from, query.wait_ms <= 0, &page);
+    int status = look(cache, query.kind, query.after_revision,
+                      query.wait_ms <= 0, &page);
     if (status == 0) {
         wait_for_news(cache, caller, &query);
         return true;
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -87,14 +87,14 @@
 {
     const relay_service_t *service =
         relay->config != NULL
-            ? relay_config_service(relay->config, server->info.service)
+            ? relay_config_find_service(relay->config, server->info.service)
             : NULL;
     if (server->info.engine) {
         platform_report_call(out, server->info.addr);
         return;
     }
     platform_health_call(out, server->info.addr,
-                         service != NULL ? service->health : "/");
+                         service != NULL ? service->health_path : "/");
 }
 
 /* Ask a server, unless it was just asked. */
--- a/relay/relay-config.c
+++ b/relay/relay-config.c
@@ -107,8 +107,8 @@
 
 /* The route of the host whose prefix is the longest that begins the path. */
 const route_t *
-relay_config_route(const relay_config_t *config, const char *host,
-                   size_t host_len, const char *path, size_t path_len)
+relay_config_find_route(const relay_config_t *config, const char *host,
+                        size_t host_len, const char *path, size_t path_len)
 {
     const route_t *route;
     CK_SLIST_FOREACH (route, &config->routes[host_bucket(host, host_len)],
@@ -126,7 +126,7 @@
 
 /* The workspace that holds a key, or NULL. */
 const workspace_entry_t *
-relay_config_workspace(const relay_config_t *config, const char *key)
+relay_config_find_workspace(const relay_config_t *config, const char *key)
 {
     const access_key_t *entry;
     CK_SLIST_FOREACH (entry, &config->keys[key_bucket(key)], entry) {
@@ -138,7 +138,7 @@
 }
 
 const relay_service_t *
-relay_config_service(const relay_config_t *config, const char *name)
+relay_config_find_service(const relay_config_t *config, const char *name)
 {
     const relay_service_t *service;
     CK_SLIST_FOREACH (service, &config->services, entry) {
@@ -152,7 +152,7 @@
 /* The service that a request goes to, by the weights of the route's split.
  * The same draw gives the same service as long as the split stays. */
 const char *
-route_service(const route_t *route, uint64_t draw)
+route_pick_service(const route_t *route, uint64_t draw)
 {
     uint64_t total = 0;
     for (unsigned i = 0; i < route->split_count; i++) {
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -35,7 +35,8 @@
 typedef void (*part_notify_t)(peers_t *peers, const char *holder,
                               const cached_part_t *part, bool held);
 
-/* Kinds of object that other daemons may ask for: the first of kind_t. */
+/* Kinds of object that other daemons may ask for: the first of object_kind_t.
+ */
 #define KINDS_CACHED 3
 
 /* ---- the newest weights that were named ---- */
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -260,7 +260,7 @@
         .wait_ms = request->wait_ms,
         .read_ms = request->read_ms,
         .margin_ms = forecast_margin_ms(&request->relay->forecast),
-        .target_ms = request->route->target_ms,
+        .target_ms = request->route->target_latency_ms,
         .left_ms = request->until_ms - now,
         .engine = request->engine};
     int64_t after_ms = admit_after_ms(&ask);
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -18,7 +18,7 @@
             break;
     }
     if (tokens == NULL) {
-        return workspace->plain_tokens;
+        return workspace->default_tokens;
     }
     prompt_read_tokens(&prompt, http_head_at(request->head, tokens->value),
                        tokens->value.len);
--- a/relay/request.c
+++ b/relay/request.c
@@ -196,7 +196,7 @@
         case RETRY_AGAIN:
             if (!request_place(request)) {
                 request->waits_until_ms =
-                    now + request->route->target_ms / WAIT_SHARE;
+                    now + request->route->target_latency_ms / WAIT_SHARE;
             }
             return;
         case RETRY_WAIT:
@@ -331,7 +331,7 @@
         port != NULL ? (size_t)(port - name) : (size_t)host->value.len;
     size_t path_len =
         query != NULL ? (size_t)(query - path) : (size_t)head->target.len;
-    return relay_config_route(config, name, host_len, path, path_len);
+    return relay_config_find_route(config, name, host_len, path, path_len);
 }
 
 /* The workspace whose key a request carries, or NULL. */
@@ -348,7 +348,7 @@
     if (strncmp(text, scheme, sizeof(scheme) - 1) != 0) {
         return NULL;
     }
-    return relay_config_workspace(config, text + sizeof(scheme) - 1);
+    return relay_config_find_workspace(config, text + sizeof(scheme) - 1);
 }
 
 static void
@@ -410,7 +410,7 @@
     struct timeval after = {span / 1000, span % 1000 * 1000};
     request->until_ms = request->came_ms + span;
     request->waits_until_ms =
-        request->came_ms + request->route->target_ms / WAIT_SHARE;
+        request->came_ms + request->route->target_latency_ms / WAIT_SHARE;
     (void)event_add(request->timer, &after);
 }
 
@@ -430,7 +430,7 @@
     if (*route == NULL) {
         return 404;
     }
-    if (!relay->config->keyed || (*route)->open) {
+    if (!relay->config->keys_required || (*route)->public) {
         return 0;
     }
     *workspace = find_workspace(relay->config, head);
@@ -463,9 +463,9 @@
     request->route = route;
     request->workspace = workspace;
     str_copy(request->service, sizeof(request->service),
-             route_service(route, rng_next(&relay->rng)));
+             route_pick_service(route, rng_next(&relay->rng)));
     const relay_service_t *service =
-        relay_config_service(relay->config, request->service);
+        relay_config_find_service(relay->config, request->service);
     request->engine = service != NULL && service->engine;
     if (request->engine) {
         read_prompt(request);
--- a/relay/retry-rule.c
+++ b/relay/retry-rule.c
@@ -21,7 +21,7 @@
             return true;
         case ROUTE_STREAM:
             return resumable;
-        case ROUTE_ONCE:
+        case ROUTE_NON_IDEMPOTENT:
             break;
     }
     return false;
--- a/relay/rollout-plan.c
+++ b/relay/rollout-plan.c
@@ -79,8 +79,8 @@
  * this time.  The rest is not waited for, or one long answer would keep the
  * server from all others, and the fleet from the new weights. */
 bool
-rollout_may_order(const server_t *server, int64_t quiet_ms, int64_t now_ms)
+rollout_can_order(const server_t *server, int64_t quiet_ms, int64_t now_ms)
 {
-    return now_ms - quiet_ms >= ROLLOUT_QUIET_MS ||
+    return now_ms - quiet_ms >= ROLLOUT_DRAIN_MS ||
            server_running(server, now_ms) == 0;
 }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -106,16 +106,16 @@
     lease_object_t object = {0};
     if (platform_object_read(&page, result->text, result->len, &err) != 0) {
         log_warn("orders", "The lease cannot be read: %s.", err.text);
-        lease_unanswered(&rollout->lease);
+        lease_set_outcome_unknown(&rollout->lease);
         return;
     }
     if (platform_lease_read(&page.objects[0], &object, &err) != 0) {
         log_warn("orders", "The lease cannot be read: %s.", err.text);
     }
-    lease_view_t view = {.revision = page.objects[0].revision,
-                         .holder = object.holder,
-                         .fence = object.fence,
-                         .writes = object.writes};
+    lease_record_t view = {.revision = page.objects[0].revision,
+                           .holder = object.holder,
+                           .fence = object.fence,
+                           .writes = object.writes};
     lease_observe(&rollout->lease, &view, time_boot_ms());
     take_named(rollout->relay, object.named);
     platform_page_free(&page);
@@ -128,9 +128,9 @@
     bool wrote = rollout->lease_step != LEASE_READ;
     rollout->lease_call = NULL;
     if (!result->whole) {
-        lease_failed(&rollout->lease, time_boot_ms());
+        lease_call_failed(&rollout->lease, time_boot_ms());
         if (wrote && result->sent) {
-            lease_unanswered(&rollout->lease);
+            lease_set_outcome_unknown(&rollout->lease);
         }
         return;
     }
@@ -144,7 +144,7 @@
             lease_observe_absent(&rollout->lease);
             return;
         default:
-            lease_failed(&rollout->lease, time_boot_ms());
+            lease_call_failed(&rollout->lease, time_boot_ms());
             return; /* nothing was done */
     }
 }
@@ -156,10 +156,10 @@
     const char *addr = relay->settings.store;
     lease_t *lease = &rollout->lease;
     CLEAN_BUF buf_t head = {0};
-    lease_asked(lease, step, time_boot_ms());
-    CLEAN_JSON json_t *spec =
-        platform_lease_spec(lease_writes_holder(lease), lease->wanted_fence,
-                            lease->writes, named_rows(relay));
+    lease_step_sent(lease, step, time_boot_ms());
+    CLEAN_JSON json_t *spec = platform_lease_spec(
+        lease_requested_holder(lease), lease->requested_fence, lease->writes,
+        named_rows(relay));
     switch (step) {
         case LEASE_CREATE:
             platform_create_call(&head, addr, KIND_LEASES, LEASE_NAME, spec);
@@ -187,7 +187,7 @@
 lease_tick(rollout_t *rollout)
 {
     int64_t now = time_boot_ms();
-    bool held = lease_held(&rollout->lease, now);
+    bool held = lease_is_held(&rollout->lease, now);
     if (held != rollout->was_held) {
         rollout->was_held = held;
         log_record(LOG_INFO, "orders", held ? "lease-held" : "lease-lost",
@@ -196,14 +196,14 @@
                    (long long)rollout->lease.revision, rollout->lease.holder);
     }
     if (rollout->relay->stopping_ms != 0) {
-        lease_leave(&rollout->lease);
+        lease_release(&rollout->lease);
     }
     if (rollout->lease_call != NULL) {
         return;
     }
-    lease_take_turn(&rollout->lease,
-                    peers_duty_rank(rollout->relay->peers, LEASE_NAME));
-    lease_step_t step = lease_next(&rollout->lease, now);
+    lease_set_rank(&rollout->lease,
+                   peers_duty_rank(rollout->relay->peers, LEASE_NAME));
+    lease_step_t step = lease_next_step(&rollout->lease, now);
     if (step != LEASE_IDLE) {
         lease_call(rollout, step);
     }
@@ -261,12 +261,12 @@
     weights_order_t order = {.server = server->info.id,
                              .model = job->model,
                              .version = job->version,
-                             .runs = RUNS_GO_ON,
+                             .drain_mode = DRAIN_KEEP,
                              .holder = rollout->lease.self,
                              .fence = rollout->lease.fence,
                              .expected_orders = job->orders};
     platform_order_call(&head, server->info.addr, &order);
-    if (!lease_held(&rollout->lease, time_boot_ms())) {
+    if (!lease_is_held(&rollout->lease, time_boot_ms())) {
         job_free(job, AGAIN_MS);
         return;
     }
@@ -290,7 +290,7 @@
     job->orders = orders;
     job->state = JOB_QUIET;
     job->quiet_ms = now;
-    server->loading_ms = now + ROLLOUT_QUIET_MS + ORDER_CALL_MS;
+    server->loading_ms = now + ROLLOUT_DRAIN_MS + ORDER_CALL_MS;
     peers_notify_weights(job->rollout->relay->peers, server, job->version);
 }
 
@@ -322,7 +322,7 @@
         job->next_ms = time_mono_ms() + LOADING_ASK_MS;
         return;
     }
-    job_quiet(job, server, report.orders);
+    job_quiet(job, server, report.accepted_orders);
 }
 
 static void
@@ -385,7 +385,7 @@
             continue;
         }
         if (job->state == JOB_QUIET) {
-            if (rollout_may_order(server, job->quiet_ms, now)) {
+            if (rollout_can_order(server, job->quiet_ms, now)) {
                 job_order(job, server);
             }
             continue;
@@ -429,7 +429,7 @@
     jobs_tick(rollout, now);
     if (!relay->servers_listed || !relay->weights_listed ||
         relay->stopping_ms != 0 ||
-        !lease_held(&rollout->lease, time_boot_ms())) {
+        !lease_is_held(&rollout->lease, time_boot_ms())) {
         return;
     }
     for (size_t i = 0; i < relay->weights_count; i++) {
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -58,7 +58,7 @@
     watch_hooks_t hooks;
     char addr[CS_ADDR_MAX];
     char upstream[CS_ADDR_MAX]; /* that this daemon follows, if it does */
-    kind_t kind;
+    object_kind_t kind;
     watch_state_t state;
     char after[CS_NAME_MAX * 2]; /* name that the list goes on behind */
     int64_t list_at;             /* revision of the list's first page */
@@ -82,7 +82,7 @@
 static void on_done(void *arg, const fetch_result_t *result);
 
 static const char *
-kind_name(kind_t kind)
+kind_name(object_kind_t kind)
 {
     switch (kind) {
         case KIND_CONFIG:
@@ -217,13 +217,13 @@
 take_list_page(watch_t *watch, const store_page_t *page)
 {
     if (watch->after[0] == '\0') {
-        watch->list_at = page->at;
+        watch->list_at = page->revision;
         watch->hooks.on_list(watch->hooks.arg);
     }
     for (size_t i = 0; i < page->count; i++) {
         watch->hooks.on_object(watch->hooks.arg, &page->objects[i]);
     }
-    if (page->more && page->count > 0) {
+    if (page->has_more && page->count > 0) {
         str_copy(watch->after, sizeof(watch->after),
                  page->objects[page->count - 1].name);
         return;
@@ -250,7 +250,7 @@
         call_failed(watch, "unreadable");
         return;
     }
-    if (watch->listed && page.at < watch->at) {
+    if (watch->listed && page.revision < watch->at) {
         /* It is behind: what it lacks is not gone. */
         platform_page_free(&page);
         call_later_behind_other(watch);
@@ -260,11 +260,11 @@
     for (size_t i = 0; i < page.count; i++) {
         watch->hooks.on_object(watch->hooks.arg, &page.objects[i]);
     }
-    watch->hooks.on_listed(watch->hooks.arg, page.at);
-    if (!watch->listed || page.at > watch->at) {
+    watch->hooks.on_listed(watch->hooks.arg, page.revision);
+    if (!watch->listed || page.revision > watch->at) {
         log_record(LOG_INFO, "store", "told-by-peer", "kind=%s at=%lld",
-                   kind_name(watch->kind), (long long)page.at);
-        watch->at = page.at;
+                   kind_name(watch->kind), (long long)page.revision);
+        watch->at = page.revision;
     }
     watch->listed = true;
     watch->state = WATCH_WATCHING;
@@ -291,7 +291,7 @@
         for (size_t i = 0; i < page.count; i++) {
             watch->hooks.on_object(watch->hooks.arg, &page.objects[i]);
         }
-        watch->at = page.at > watch->at ? page.at : watch->at;
+        watch->at = page.revision > watch->at ? page.revision : watch->at;
     }
     /* One that is followed has gathered already. */
     bool gather = watch->kind == KIND_SERVERS && watch->listed &&
@@ -418,7 +418,7 @@
 /* Begin with a whole list. */
 watch_t *
 watch_start(struct event_base *base, exchanges_t *exchanges, const char *addr,
-            kind_t kind, const watch_hooks_t *hooks)
+            object_kind_t kind, const watch_hooks_t *hooks)
 {
     watch_t *watch = mem_zalloc(sizeof(*watch));
     watch->base = base;
--- a/relay/watch.h
+++ b/relay/watch.h
@@ -34,7 +34,7 @@
 } watch_hooks_t;
 
 watch_t *watch_start(struct event_base *base, exchanges_t *exchanges,
-                     const char *addr, kind_t kind,
+                     const char *addr, object_kind_t kind,
                      const watch_hooks_t *hooks);
 void watch_stop(watch_t *watch);
 int64_t watch_heard_ms(const watch_t *watch);
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -22,7 +22,7 @@
     ck_assert_uint_lt(taken->count, TAKEN_MAX);
     str_copy(taken->ids[taken->count], sizeof(taken->ids[0]), event->id);
     taken->tokens[taken->count] = event->tokens;
-    taken->grew[taken->count++] = event->grew;
+    taken->grew[taken->count++] = event->added;
 }
 
 START_TEST(a_list_gives_its_parts_and_its_place)
@@ -31,7 +31,7 @@
         "{\"epoch\":77120,\"next\":120,\"held\":[[\"s1\",\"5c1e\",800,\"m\"],"
         "[\"s1\",\"x\",\"odd\",3,\"m\"],[\"s2\",\"91bd\",128,\"m\"],7]}";
     taken_t taken = {0};
-    cache_place_t place;
+    cache_position_t place;
     err_t err = {0};
     ck_assert_int_eq(platform_cache_list_read(&place, text, strlen(text), take,
                                               &taken, &err),
@@ -52,7 +52,7 @@
         ","
         "[8,\"-\",\"s1\"],[9,\"+\",4,\"5c1e\",800,\"m\"],\"no\"]}";
     taken_t taken = {0};
-    cache_place_t place;
+    cache_position_t place;
     err_t err = {0};
     ck_assert_int_eq(platform_cache_events_read(&place, text, strlen(text),
                                                 take, &taken, &err),
@@ -77,7 +77,7 @@
     };
     for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
         taken_t taken = {0};
-        cache_place_t place;
+        cache_position_t place;
         err_t err = {0};
         ck_assert_int_ne(
             platform_cache_list_read(&place, bad[i], strlen(bad[i]), take,
@@ -172,7 +172,7 @@
     relay_t *relay = relay_with("a", &server);
     cached_parts_t *unasked = cached_parts_new();
     cache_event_t event = {
-        .salt = "s1", .id = "5c1e", .tokens = 700, .grew = true};
+        .salt = "s1", .id = "5c1e", .tokens = 700, .added = true};
     uint64_t key = prompt_part_key(prompt_part("5c1e", 4), "s1");
     cache_event_take(relay, unasked, "a", &event);
     ck_assert_uint_eq(notified, 0);
@@ -185,7 +185,7 @@
     cache_event_asked(relay, unasked, "a", key);
     cache_event_take(relay, unasked, "a", &event);
     ck_assert_uint_eq(notified, 1);
-    event.grew = false;
+    event.added = false;
     event.tokens = 0;
     cache_event_take(relay, unasked, "a", &event);
     ck_assert_uint_eq(notified, 2);
@@ -202,9 +202,9 @@
     relay_t *relay = relay_with("a", &server);
     cached_parts_t *unasked = cached_parts_new();
     cache_event_t event = {
-        .salt = "s1", .id = "5c1e", .tokens = 700, .grew = true};
+        .salt = "s1", .id = "5c1e", .tokens = 700, .added = true};
     cache_event_take(relay, unasked, "a", &event);
-    event.grew = false;
+    event.added = false;
     cache_event_take(relay, unasked, "a", &event);
     cache_event_asked(relay, unasked, "a",
                       prompt_part_key(prompt_part("5c1e", 4), "s1"));
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -70,10 +70,10 @@
         late->due_ms =
             world->now_ms + 500 + (int64_t)rng_below(&world->rng, 5500);
         late->revision = lease->revision;
-        late->fence = lease->wanted_fence;
+        late->fence = lease->requested_fence;
         late->writes = lease->writes;
         str_copy(late->holder, sizeof(late->holder),
-                 lease_writes_holder(lease));
+                 lease_requested_holder(lease));
         return;
     }
 }
@@ -99,16 +99,16 @@
     char name[32];
     (void)snprintf(name, sizeof(name), "d%d/%u", daemon, world->starts++);
     lease_init(&world->leases[daemon], name, SPAN_MS);
-    lease_take_turn(&world->leases[daemon], (size_t)daemon);
+    lease_set_rank(&world->leases[daemon], (size_t)daemon);
 }
 
 static void
 see(const world_t *world, lease_t *lease)
 {
-    lease_view_t view = {.revision = world->revision,
-                         .holder = world->holder,
-                         .fence = world->fence,
-                         .writes = world->writes};
+    lease_record_t view = {.revision = world->revision,
+                           .holder = world->holder,
+                           .fence = world->fence,
+                           .writes = world->writes};
     lease_observe(lease, &view, world->now_ms);
 }
 
@@ -120,15 +120,15 @@
     uint64_t luck = rng_below(&world->rng, 100);
     if (luck < 10 && !create) {
         write_late(world, lease);
-        lease_unanswered(lease);
+        lease_set_outcome_unknown(lease);
         return;
     }
     if (fits) {
-        write_now(world, lease_writes_holder(lease), lease->wanted_fence,
+        write_now(world, lease_requested_holder(lease), lease->requested_fence,
                   lease->writes);
     }
     if (luck < 25) {
-        lease_unanswered(lease);
+        lease_set_outcome_unknown(lease);
         return;
     }
     see(world, lease);
@@ -137,11 +137,11 @@
 static void
 daemon_step(world_t *world, lease_t *lease)
 {
-    lease_step_t step = lease_next(lease, world->now_ms);
+    lease_step_t step = lease_next_step(lease, world->now_ms);
     if (step == LEASE_IDLE) {
         return;
     }
-    lease_asked(lease, step, world->now_ms);
+    lease_step_sent(lease, step, world->now_ms);
     if (rng_below(&world->rng, 100) < 5) {
         return; /* the store refused; nothing was done */
     }
@@ -152,10 +152,10 @@
         lease_observe_absent(lease);
     }
     else if (rng_below(&world->rng, 100) < 20 && world->old_revision > 0) {
-        lease_view_t view = {.revision = world->old_revision,
-                             .holder = world->old_holder,
-                             .fence = world->old_fence,
-                             .writes = world->old_writes};
+        lease_record_t view = {.revision = world->old_revision,
+                               .holder = world->old_holder,
+                               .fence = world->old_fence,
+                               .writes = world->old_writes};
         lease_observe(lease, &view, world->now_ms);
     }
     else {
@@ -172,7 +172,7 @@
     for (int i = 0; i < DAEMONS; i++) {
         const lease_t *lease = &world->leases[i];
         if (world->now_ms < world->frozen_ms[i] ||
-            !lease_held(lease, world->now_ms)) {
+            !lease_is_held(lease, world->now_ms)) {
             continue;
         }
         holders++;
@@ -204,7 +204,7 @@
             daemon_start(world, daemon);
             return;
         case 2:
-            lease_leave(&world->leases[daemon]);
+            lease_release(&world->leases[daemon]);
             return;
         default:
             return;
@@ -255,24 +255,24 @@
 {
     lease_t lease;
     lease_init(&lease, "b/1", SPAN_MS);
-    lease_asked(&lease, LEASE_READ, 10);
+    lease_step_sent(&lease, LEASE_READ, 10);
     lease_observe(&lease,
-                  &(lease_view_t){
+                  &(lease_record_t){
                       .revision = 7, .holder = "a/1", .fence = 3, .writes = 1},
                   12);
-    ck_assert_int_eq(lease_next(&lease, 100), LEASE_IDLE);
-    lease_observe(
-        &lease,
-        &(lease_view_t){.revision = 8, .holder = "", .fence = 3, .writes = 1},
-        900);
-    ck_assert_int_eq(lease_next(&lease, 901), LEASE_WRITE);
-    lease_asked(&lease, LEASE_WRITE, 901);
-    ck_assert_int_eq(lease.wanted_fence, 4);
+    ck_assert_int_eq(lease_next_step(&lease, 100), LEASE_IDLE);
     lease_observe(&lease,
-                  &(lease_view_t){
+                  &(lease_record_t){
+                      .revision = 8, .holder = "", .fence = 3, .writes = 1},
+                  900);
+    ck_assert_int_eq(lease_next_step(&lease, 901), LEASE_WRITE);
+    lease_step_sent(&lease, LEASE_WRITE, 901);
+    ck_assert_int_eq(lease.requested_fence, 4);
+    lease_observe(&lease,
+                  &(lease_record_t){
                       .revision = 9, .holder = "b/1", .fence = 4, .writes = 1},
                   905);
-    ck_assert(lease_held(&lease, 906));
+    ck_assert(lease_is_held(&lease, 906));
 }
 END_TEST
 
@@ -283,17 +283,17 @@
     lease_t lease;
     lease_init(&lease, "a/1", SPAN_MS);
     lease_observe_absent(&lease);
-    ck_assert_int_eq(lease_next(&lease, 1), LEASE_CREATE);
-    lease_asked(&lease, LEASE_CREATE, 1);
+    ck_assert_int_eq(lease_next_step(&lease, 1), LEASE_CREATE);
+    lease_step_sent(&lease, LEASE_CREATE, 1);
     lease_observe(&lease,
-                  &(lease_view_t){
+                  &(lease_record_t){
                       .revision = 1, .holder = "a/1", .fence = 1, .writes = 1},
                   5);
-    ck_assert(lease_held(&lease, 100));
-    ck_assert(!lease_held(&lease, 5000));
-    ck_assert_int_eq(lease_next(&lease, 5000), LEASE_WRITE);
-    lease_asked(&lease, LEASE_WRITE, 5000);
-    ck_assert_int_eq(lease.wanted_fence, 2);
+    ck_assert(lease_is_held(&lease, 100));
+    ck_assert(!lease_is_held(&lease, 5000));
+    ck_assert_int_eq(lease_next_step(&lease, 5000), LEASE_WRITE);
+    lease_step_sent(&lease, LEASE_WRITE, 5000);
+    ck_assert_int_eq(lease.requested_fence, 2);
 }
 END_TEST
 
@@ -305,21 +305,21 @@
 START_TEST(an_earlier_write_is_not_taken_for_the_last)
 {
     lease_t lease;
-    lease_view_t free = {.revision = 7, .holder = "", .fence = 3};
-    lease_view_t first = {
+    lease_record_t free = {.revision = 7, .holder = "", .fence = 3};
+    lease_record_t first = {
         .revision = 8, .holder = "a/1", .fence = 4, .writes = 1};
     lease_init(&lease, "a/1", SPAN_MS);
     lease_observe(&lease, &free, 10);
-    lease_asked(&lease, LEASE_WRITE, 1000);
-    lease_unanswered(&lease);
-    lease_asked(&lease, LEASE_READ, 2000);
+    lease_step_sent(&lease, LEASE_WRITE, 1000);
+    lease_set_outcome_unknown(&lease);
+    lease_step_sent(&lease, LEASE_READ, 2000);
     lease_observe(&lease, &free, 2010);
-    lease_asked(&lease, LEASE_WRITE, 3500);
+    lease_step_sent(&lease, LEASE_WRITE, 3500);
     lease_observe(&lease, &first, 3510);
-    ck_assert(!lease_held(&lease, 3520));
-    ck_assert_int_eq(lease_next(&lease, 3520), LEASE_WRITE);
-    lease_asked(&lease, LEASE_WRITE, 3520);
-    ck_assert_int_eq(lease.wanted_fence, 5);
+    ck_assert(!lease_is_held(&lease, 3520));
+    ck_assert_int_eq(lease_next_step(&lease, 3520), LEASE_WRITE);
+    lease_step_sent(&lease, LEASE_WRITE, 3520);
+    ck_assert_int_eq(lease.requested_fence, 5);
 }
 END_TEST
 
@@ -328,17 +328,17 @@
  * rest.  They take turns, and the first does not wait. */
 START_TEST(a_fleet_takes_a_free_lease_in_turn)
 {
-    lease_view_t free = {.revision = 7, .holder = "", .fence = 3};
+    lease_record_t free = {.revision = 7, .holder = "", .fence = 3};
     unsigned at_once = 0;
     for (size_t rank = 0; rank < 35; rank++) {
         lease_t lease;
         lease_init(&lease, "a/1", SPAN_MS);
-        lease_take_turn(&lease, rank);
+        lease_set_rank(&lease, rank);
         lease_observe(&lease, &free, 1000);
-        lease_asked(&lease, LEASE_READ, 1000);
-        at_once += lease_next(&lease, 1010) == LEASE_WRITE;
-        ck_assert(rank > 0 || lease_next(&lease, 1010) == LEASE_WRITE);
-        ck_assert_int_eq(lease_next(&lease, 1000 + SPAN_MS), LEASE_WRITE);
+        lease_step_sent(&lease, LEASE_READ, 1000);
+        at_once += lease_next_step(&lease, 1010) == LEASE_WRITE;
+        ck_assert(rank > 0 || lease_next_step(&lease, 1010) == LEASE_WRITE);
+        ck_assert_int_eq(lease_next_step(&lease, 1000 + SPAN_MS), LEASE_WRITE);
     }
     ck_assert_uint_eq(at_once, 1);
 }
@@ -350,10 +350,10 @@
 {
     lease_t lease;
     lease_init(&lease, "a/1", SPAN_MS);
-    lease_asked(&lease, LEASE_READ, 1000);
-    lease_failed(&lease, 1010);
-    ck_assert_int_eq(lease_next(&lease, 1700), LEASE_IDLE);
-    ck_assert_int_eq(lease_next(&lease, 1900), LEASE_READ);
+    lease_step_sent(&lease, LEASE_READ, 1000);
+    lease_call_failed(&lease, 1010);
+    ck_assert_int_eq(lease_next_step(&lease, 1700), LEASE_IDLE);
+    ck_assert_int_eq(lease_next_step(&lease, 1900), LEASE_READ);
 }
 END_TEST
 
--- a/tests/test-object-cache.c
+++ b/tests/test-object-cache.c
@@ -14,7 +14,7 @@
 {
     const json_t *object =
         json_object_get(object_cache_objects(cache, KIND_SERVERS), name);
-    return object != NULL ? platform_revision(object) : 0;
+    return object != NULL ? platform_object_revision(object) : 0;
 }
 
 /* Servers that live get no new weights: while the store was away a daemon took
--- a/tests/test-relay-config.c
+++ b/tests/test-relay-config.c
@@ -37,8 +37,8 @@
 static const char *
 route_of(const relay_config_t *config, const char *host, const char *path)
 {
-    const route_t *route =
-        relay_config_route(config, host, strlen(host), path, strlen(path));
+    const route_t *route = relay_config_find_route(config, host, strlen(host),
+                                                   path, strlen(path));
     return route == NULL ? "none" : route->name;
 }
 
@@ -63,18 +63,18 @@
     err_t err = {0};
     relay_config_t *config = config_of(text, &err);
     const route_t *route =
-        relay_config_route(config, "b.example", 9, "/any", 4);
+        relay_config_find_route(config, "b.example", 9, "/any", 4);
     ck_assert_int_eq(route->kind, ROUTE_STREAM);
     ck_assert(route->resumable);
     ck_assert_int_eq(route->attempts, 2);
-    ck_assert_int_eq(route->gap_ms, 800);
-    ck_assert(relay_config_service(config, "llm")->engine);
-    ck_assert(relay_config_service(config, "kept")->kv_store);
-    ck_assert_str_eq(relay_config_service(config, "kept")->dc, "z1");
+    ck_assert_int_eq(route->target_gap_ms, 800);
+    ck_assert(relay_config_find_service(config, "llm")->engine);
+    ck_assert(relay_config_find_service(config, "kept")->kv_store);
+    ck_assert_str_eq(relay_config_find_service(config, "kept")->dc, "z1");
     ck_assert_int_eq(config->limits.idle_ms, 400);
-    ck_assert_str_eq(relay_config_workspace(config, "k2")->name, "t1");
-    ck_assert(relay_config_workspace(config, "k2")->isolated);
-    ck_assert_ptr_null(relay_config_workspace(config, "k9"));
+    ck_assert_str_eq(relay_config_find_workspace(config, "k2")->name, "t1");
+    ck_assert(relay_config_find_workspace(config, "k2")->isolated);
+    ck_assert_ptr_null(relay_config_find_workspace(config, "k9"));
     relay_config_release(config);
 }
 END_TEST
@@ -96,7 +96,7 @@
     ck_assert_int_eq(workspaces[0].limit_unit, LIMIT_TOKENS);
     ck_assert_double_eq(workspaces[0].limit_rate, 36000.5);
     ck_assert_double_eq(workspaces[0].limit_burst, 40000);
-    ck_assert_double_eq(workspaces[0].plain_tokens, 200);
+    ck_assert_double_eq(workspaces[0].default_tokens, 200);
     ck_assert_int_eq(workspaces[1].limit_unit, LIMIT_REQUESTS);
     ck_assert_double_eq(workspaces[1].limit_rate, 20);
     ck_assert_double_eq(workspaces[2].limit_rate, 0);
@@ -131,10 +131,10 @@
     err_t err = {0};
     relay_config_t *config = config_of(text, &err);
     const route_t *route =
-        relay_config_route(config, "a.example", 9, "/x/", 3);
+        relay_config_find_route(config, "a.example", 9, "/x/", 3);
     unsigned second = 0;
     for (uint64_t draw = 0; draw < 1000; draw++) {
-        second += strcmp(route_service(route, draw), "s2") == 0;
+        second += strcmp(route_pick_service(route, draw), "s2") == 0;
     }
     ck_assert_uint_eq(second, 100);
     relay_config_release(config);
--- a/tests/test-retry-rule.c
+++ b/tests/test-retry-rule.c
@@ -66,7 +66,7 @@
  * The caller need not hear of it: another server takes it. */
 START_TEST(a_proven_refusal_goes_elsewhere)
 {
-    retry_ask_t ask = {.kind = ROUTE_ONCE,
+    retry_ask_t ask = {.kind = ROUTE_NON_IDEMPOTENT,
                        .attempts = 1,
                        .sends = 1,
                        .share_left = true,
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -32,17 +32,17 @@
     other_load_t report = {.host = 7, .received_ms = 1000, .running = 1};
     server_peer_load(server, &report);
     server_sent(server, 0, 1000);
-    ck_assert(!rollout_may_order(server, 1000, 1100));
+    ck_assert(!rollout_can_order(server, 1000, 1100));
     server_done(server);
-    ck_assert(!rollout_may_order(server, 1000, 1100));
+    ck_assert(!rollout_can_order(server, 1000, 1100));
     report.running = 0;
     report.received_ms = 1150;
     server_peer_load(server, &report);
-    ck_assert(rollout_may_order(server, 1000, 1150));
+    ck_assert(rollout_can_order(server, 1000, 1150));
     report.running = 5;
     server_peer_load(server, &report);
-    ck_assert(!rollout_may_order(server, 1000, 1000 + ROLLOUT_QUIET_MS - 1));
-    ck_assert(rollout_may_order(server, 1000, 1000 + ROLLOUT_QUIET_MS));
+    ck_assert(!rollout_can_order(server, 1000, 1000 + ROLLOUT_DRAIN_MS - 1));
+    ck_assert(rollout_can_order(server, 1000, 1000 + ROLLOUT_DRAIN_MS));
     servers_free(servers);
 }
 END_TEST
@@ -85,7 +85,7 @@
         server_done(one->server);
     }
     if (!one->loading) {
-        one->loading = rollout_may_order(one->server, one->quiet_ms, now);
+        one->loading = rollout_can_order(one->server, one->quiet_ms, now);
         one->load_left_ms = LOAD_MS;
         return;
     }
