--- a/relay/rollout-plan.c
+++ b/relay/rollout-plan.c
@@ -2,38 +2,38 @@
 
 #include <string.h>
 
-/* Share of a model's servers that load at once.  The platform's source of
- * weights bears about two ninths of them at full speed; a server first
- * finishes what it runs, so that of the servers that are ordered about half
- * are loading. */
-#define LOADING_SHARE 0.34
+/* Share of a model's servers that may be updated at once.  The
+ * platform's source of weights can serve about two ninths of them at full
+ * speed.  A server drains before it loads, so only about half of the
+ * servers being updated are loading. */
+#define ORDERED_SHARE 0.34
 
-/* How many of so many servers may be ordered at once. */
+/* Returns how many of a model's servers may be updated at once. */
 size_t
 rollout_limit(size_t servers)
 {
-    size_t limit = (size_t)((double)servers * LOADING_SHARE + 0.5);
+    size_t limit = (size_t)((double)servers * ORDERED_SHARE + 0.5);
     return limit > 0 ? limit : 1;
 }
 
 static bool
-serves(const server_t *server, const char *model)
+serves_model(const server_t *server, const char *model)
 {
     return !server->gone && server->info.engine &&
            strcmp(server->info.model, model) == 0;
 }
 
-/* How many servers have the model, and how many of them are being ordered. */
+/* Counts the servers of a model and those of them that are being updated. */
 size_t
-rollout_count(servers_t *servers, const char *model, size_t *loading)
+rollout_count(servers_t *servers, const char *model, size_t *ordered)
 {
     size_t count = 0;
     server_t *server;
-    *loading = 0;
+    *ordered = 0;
     CK_LIST_FOREACH (server, &servers->list, entry) {
-        if (serves(server, model)) {
+        if (serves_model(server, model)) {
             count++;
-            *loading += server->ordered ? 1 : 0;
+            *ordered += server->ordered ? 1 : 0;
         }
     }
     return count;
@@ -53,8 +53,8 @@
     return strcmp(a->info.id, b->info.id) < 0;
 }
 
-/* The next server to load a version: the one on the oldest weights, among
- * equals the one that runs least. */
+/* Returns the next server to load a version: one on the oldest weights, and
+ * of those the one with the fewest running and waiting requests. */
 server_t *
 rollout_pick(servers_t *servers, const char *model, int64_t version,
              int64_t now_ms)
@@ -62,7 +62,7 @@
     server_t *best = NULL;
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
-        if (!serves(server, model) || server->info.weights >= version ||
+        if (!serves_model(server, model) || server->info.weights >= version ||
             server->ordered || !server_usable(server, now_ms) ||
             now_ms < server->order_after_ms) {
             continue;
@@ -74,13 +74,14 @@
     return best;
 }
 
-/* Whether a server to which nothing new goes since quiet_ms is ordered now.
- * It guards against answers that are made half on one version: most end in
- * this time.  The rest is not waited for, or one long answer would keep the
- * server from all others, and the fleet from the new weights. */
+/* Whether a draining server can be ordered to load now.  Draining keeps most
+ * answers from being generated partly on one version and partly on another.
+ * Longer answers are not waited for: one of them would keep the server from
+ * all other requests, and the fleet from the new weights. */
 bool
-rollout_can_order(const server_t *server, int64_t quiet_ms, int64_t now_ms)
+rollout_can_order(const server_t *server, int64_t drain_started_ms,
+                  int64_t now_ms)
 {
-    return now_ms - quiet_ms >= ROLLOUT_DRAIN_MS ||
+    return now_ms - drain_started_ms >= ROLLOUT_DRAIN_MS ||
            server_running(server, now_ms) == 0;
 }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -7,32 +7,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Brings engines to the newest weights.  One daemon gives the orders, under a
- * lease in the platform's store; every order carries the lease's fencing
- * number, the server's identity and the count of orders that the server had
- * accepted, so that one that arrives late or twice does nothing. */
+/* Brings engines to the newest weights.  One daemon sends the load orders,
+ * under a lease in the platform's store.  Every order carries the lease's
+ * fencing token, the server's id and the count of orders that the server had
+ * accepted, so that an order that arrives late or twice has no effect. */
 
 #define LEASE_NAME "orders"
 #define STORE_CONNECT_MS 300
 #define STORE_CALL_MS 1000
 #define ORDER_CONNECT_MS 300
 #define ORDER_CALL_MS 800
-/* A report is a few hundred ms behind, so what an order did shows in it only
- * after this, ms. */
+/* Reports lag by a few hundred ms: the effect of an order shows only after
+ * this time. */
 #define REPORT_LAG_MS 400
-/* While a server loads it is asked this often, ms. */
-#define LOADING_ASK_MS 250
-/* A server that could not be ordered is left for this long, ms. */
-#define AGAIN_MS 500
-/* An order that has shown no effect for so long is given anew, ms: a load
- * takes under a second, behind it runs finish within a few. */
-#define ORDER_SPAN_MS 6000
+/* Interval between reports of a server that loads. */
+#define LOADING_POLL_MS 250
+/* A server that could not be ordered is not tried again for this time. */
+#define JOB_RETRY_MS 500
+/* A job that has not finished in this time is given up, so that the server is
+ * ordered again.  A load takes less than a second, and the requests that run
+ * when it starts finish within a few. */
+#define JOB_TIMEOUT_MS 6000
 
 typedef enum {
-    JOB_REPORT, /* how many orders has it accepted, and is it there already */
-    JOB_QUIET,  /* nothing new goes there while what runs there ends */
-    JOB_ORDER,
-    JOB_LOADING
+    JOB_REPORT,   /* get its weights and its count of accepted orders */
+    JOB_DRAINING, /* send no new requests while running ones finish */
+    JOB_ORDER,    /* the order was sent */
+    JOB_LOADING   /* poll its report until it has the version */
 } job_state_t;
 
 typedef struct job {
@@ -42,17 +43,17 @@
     char model[SERVER_MODEL_MAX];
     int64_t version;
     job_state_t state;
-    int64_t began_ms;
-    int64_t next_ms;  /* when to ask again */
-    int64_t quiet_ms; /* since when nothing new goes there */
-    int64_t orders;   /* that the server had accepted by its report */
+    int64_t started_ms;
+    int64_t next_poll_ms;     /* when to request the next report */
+    int64_t drain_started_ms; /* when JOB_DRAINING began */
+    int64_t accepted_orders;  /* count in the server's last report */
     fetch_t *fetch;
 } job_t;
 
 struct rollout {
     relay_t *relay;
     lease_t lease;
-    fetch_t *lease_call;
+    fetch_t *lease_fetch;
     lease_step_t lease_step;
     bool was_held;
     CK_LIST_HEAD(jobs, job) jobs;
@@ -60,9 +61,9 @@
 
 /* ---- the lease ---- */
 
-/* When versions were named, as the holder has written it down. */
+/* Takes in when versions were published, as the holder recorded it. */
 static void
-take_named(relay_t *relay, const json_t *named)
+take_published(relay_t *relay, const json_t *named)
 {
     size_t index;
     json_t *row;
@@ -82,7 +83,7 @@
 }
 
 static json_t *
-named_rows(const relay_t *relay)
+published_rows(const relay_t *relay)
 {
     json_t *rows = json_array();
     for (size_t i = 0; i < relay->weights_count; i++) {
@@ -99,7 +100,7 @@
 }
 
 static void
-take_lease(rollout_t *rollout, const fetch_result_t *result)
+take_lease_object(rollout_t *rollout, const fetch_result_t *result)
 {
     store_page_t page;
     err_t err = {0};
@@ -112,12 +113,12 @@
     if (platform_lease_read(&page.objects[0], &object, &err) != 0) {
         log_warn("orders", "The lease cannot be read: %s.", err.text);
     }
-    lease_record_t view = {.revision = page.objects[0].revision,
-                           .holder = object.holder,
-                           .fence = object.fence,
-                           .writes = object.writes};
-    lease_observe(&rollout->lease, &view, time_boot_ms());
-    take_named(rollout->relay, object.named);
+    lease_record_t record = {.revision = page.objects[0].revision,
+                             .holder = object.holder,
+                             .fence = object.fence,
+                             .writes = object.writes};
+    lease_observe(&rollout->lease, &record, time_boot_ms());
+    take_published(rollout->relay, object.named);
     platform_page_free(&page);
 }
 
@@ -126,7 +127,7 @@
 {
     rollout_t *rollout = arg;
     bool wrote = rollout->lease_step != LEASE_READ;
-    rollout->lease_call = NULL;
+    rollout->lease_fetch = NULL;
     if (!result->whole) {
         lease_call_failed(&rollout->lease, time_boot_ms());
         if (wrote && result->sent) {
@@ -137,50 +138,50 @@
     switch (result->status) {
         case 200:
         case 201:
-        case 409: /* with the object as it is */
-            take_lease(rollout, result);
+        case 409: /* carries the current object */
+            take_lease_object(rollout, result);
             return;
         case 404:
             lease_observe_absent(&rollout->lease);
             return;
         default:
             lease_call_failed(&rollout->lease, time_boot_ms());
-            return; /* nothing was done */
+            return; /* the store did nothing */
     }
 }
 
 static void
-lease_call(rollout_t *rollout, lease_step_t step)
+lease_send(rollout_t *rollout, lease_step_t step)
 {
     relay_t *relay = rollout->relay;
     const char *addr = relay->settings.store;
     lease_t *lease = &rollout->lease;
-    CLEAN_BUF buf_t head = {0};
+    CLEAN_BUF buf_t call = {0};
     lease_step_sent(lease, step, time_boot_ms());
     CLEAN_JSON json_t *spec = platform_lease_spec(
         lease_requested_holder(lease), lease->requested_fence, lease->writes,
-        named_rows(relay));
+        published_rows(relay));
     switch (step) {
         case LEASE_CREATE:
-            platform_create_call(&head, addr, KIND_LEASES, LEASE_NAME, spec);
+            platform_create_call(&call, addr, KIND_LEASES, LEASE_NAME, spec);
             break;
         case LEASE_WRITE:
-            platform_replace_call(&head, addr, KIND_LEASES, LEASE_NAME,
+            platform_replace_call(&call, addr, KIND_LEASES, LEASE_NAME,
                                   lease->revision, spec);
             break;
         case LEASE_READ:
         case LEASE_IDLE:
-            platform_get_call(&head, addr, KIND_LEASES, LEASE_NAME);
+            platform_get_call(&call, addr, KIND_LEASES, LEASE_NAME);
             break;
     }
     fetch_ask_t ask = {.addr = addr,
-                       .call = &head,
+                       .call = &call,
                        .connect_ms = STORE_CONNECT_MS,
                        .total_ms = STORE_CALL_MS,
                        .on_done = on_lease_done,
                        .arg = rollout};
     rollout->lease_step = step;
-    rollout->lease_call = fetch_start(relay->exchanges, &ask);
+    rollout->lease_fetch = fetch_start(relay->exchanges, &ask);
 }
 
 static void
@@ -198,27 +199,27 @@
     if (rollout->relay->stopping_ms != 0) {
         lease_release(&rollout->lease);
     }
-    if (rollout->lease_call != NULL) {
+    if (rollout->lease_fetch != NULL) {
         return;
     }
     lease_set_rank(&rollout->lease,
                    peers_duty_rank(rollout->relay->peers, LEASE_NAME));
     lease_step_t step = lease_next_step(&rollout->lease, now);
     if (step != LEASE_IDLE) {
-        lease_call(rollout, step);
+        lease_send(rollout, step);
     }
 }
 
 /* ---- jobs: one server each ---- */
 
 static void
-job_free(job_t *job, int64_t again_ms)
+job_free(job_t *job, int64_t retry_ms)
 {
     server_t *server = servers_find(job->rollout->relay->servers, job->server);
     if (server != NULL) {
         server->ordered = false;
         server->loading_ms = 0;
-        server->order_after_ms = time_mono_ms() + again_ms;
+        server->order_after_ms = time_mono_ms() + retry_ms;
     }
     if (job->fetch != NULL) {
         fetch_cancel(job->fetch);
@@ -230,10 +231,10 @@
 static void on_job_done(void *arg, const fetch_result_t *result);
 
 static void
-job_call(job_t *job, const server_t *server, const buf_t *head)
+job_send(job_t *job, const server_t *server, const buf_t *call)
 {
     fetch_ask_t ask = {.addr = server->info.addr,
-                       .call = head,
+                       .call = call,
                        .connect_ms = ORDER_CONNECT_MS,
                        .total_ms = ORDER_CALL_MS,
                        .on_done = on_job_done,
@@ -242,32 +243,32 @@
 }
 
 static void
-job_ask_report(job_t *job, const server_t *server)
+job_request_report(job_t *job, const server_t *server)
 {
-    CLEAN_BUF buf_t head = {0};
-    platform_report_call(&head, server->info.addr);
-    job_call(job, server, &head);
+    CLEAN_BUF buf_t call = {0};
+    platform_report_call(&call, server->info.addr);
+    job_send(job, server, &call);
 }
 
-/* Give the order.  What still runs goes on beside the load: held back by one
- * long answer, a server would refuse all others for as long, and the rest of
- * the fleet would be on old weights.  The lease is looked at last, right
- * before the order leaves. */
+/* Sends the load order.  Requests that still run go on during the load: if the
+ * load waited for one long answer, the server would refuse all other requests
+ * until then, and the rest of the fleet would stay on old weights.  The lease
+ * is checked last, right before the order is sent. */
 static void
-job_order(job_t *job, const server_t *server)
+job_send_order(job_t *job, const server_t *server)
 {
     rollout_t *rollout = job->rollout;
-    CLEAN_BUF buf_t head = {0};
+    CLEAN_BUF buf_t call = {0};
     weights_order_t order = {.server = server->info.id,
                              .model = job->model,
                              .version = job->version,
                              .drain_mode = DRAIN_KEEP,
                              .holder = rollout->lease.self,
                              .fence = rollout->lease.fence,
-                             .expected_orders = job->orders};
-    platform_order_call(&head, server->info.addr, &order);
+                             .expected_orders = job->accepted_orders};
+    platform_order_call(&call, server->info.addr, &order);
     if (!lease_is_held(&rollout->lease, time_boot_ms())) {
-        job_free(job, AGAIN_MS);
+        job_free(job, JOB_RETRY_MS);
         return;
     }
     log_record(LOG_INFO, "orders", "load",
@@ -275,33 +276,34 @@
                "expected=%lld running=%d",
                server->info.id, job->model, (long long)job->version,
                (long long)server->info.weights,
-               (long long)rollout->lease.fence, (long long)job->orders,
+               (long long)rollout->lease.fence,
+               (long long)job->accepted_orders,
                server_running(server, time_mono_ms()));
     job->state = JOB_ORDER;
-    job_call(job, server, &head);
+    job_send(job, server, &call);
 }
 
-/* Send nothing more to a server that is about to be ordered, so that what it
- * runs ends on the weights that it began with. */
+/* Stops sending requests to a server that is about to be ordered, so that its
+ * running requests end on the weights on which they started. */
 static void
-job_quiet(job_t *job, server_t *server, int64_t orders)
+job_drain(job_t *job, server_t *server, int64_t accepted_orders)
 {
     int64_t now = time_mono_ms();
-    job->orders = orders;
-    job->state = JOB_QUIET;
-    job->quiet_ms = now;
+    job->accepted_orders = accepted_orders;
+    job->state = JOB_DRAINING;
+    job->drain_started_ms = now;
     server->loading_ms = now + ROLLOUT_DRAIN_MS + ORDER_CALL_MS;
     peers_notify_weights(job->rollout->relay->peers, server, job->version);
 }
 
 static void
-take_job_report(job_t *job, server_t *server, const fetch_result_t *result)
+job_take_report(job_t *job, server_t *server, const fetch_result_t *result)
 {
     server_report_t report;
     err_t err = {0};
     if (result->status != 200 ||
         platform_report_read(&report, result->text, result->len, &err) != 0) {
-        job_free(job, AGAIN_MS);
+        job_free(job, JOB_RETRY_MS);
         return;
     }
     if (report.weights != server->info.weights) {
@@ -312,39 +314,39 @@
         log_record(LOG_INFO, "orders", "loaded",
                    "server=%s version=%lld after_ms=%lld", server->info.id,
                    (long long)report.weights,
-                   (long long)(time_mono_ms() - job->began_ms));
+                   (long long)(time_mono_ms() - job->started_ms));
         peers_notify_weights(job->rollout->relay->peers, server, 0);
         job_free(job, 0);
         return;
     }
     if (report.busy || job->state == JOB_LOADING) {
         job->state = JOB_LOADING;
-        job->next_ms = time_mono_ms() + LOADING_ASK_MS;
+        job->next_poll_ms = time_mono_ms() + LOADING_POLL_MS;
         return;
     }
-    job_quiet(job, server, report.accepted_orders);
+    job_drain(job, server, report.accepted_orders);
 }
 
 static void
-take_job_answer(job_t *job, server_t *server, int status)
+job_take_order_status(job_t *job, server_t *server, int status)
 {
     switch (status) {
         case 202:
             job->state = JOB_LOADING;
-            job->next_ms = time_mono_ms() + REPORT_LAG_MS;
-            server->loading_ms = time_mono_ms() + ORDER_SPAN_MS;
+            job->next_poll_ms = time_mono_ms() + REPORT_LAG_MS;
+            server->loading_ms = time_mono_ms() + JOB_TIMEOUT_MS;
             peers_notify_weights(job->rollout->relay->peers, server,
                                  job->version);
             return;
         case 200:
             job->state = JOB_REPORT;
-            job->next_ms = time_mono_ms() + REPORT_LAG_MS;
+            job->next_poll_ms = time_mono_ms() + REPORT_LAG_MS;
             return;
         default:
             log_record(LOG_WARN, "orders", "refused",
                        "server=%s status=%d fence=%lld", server->info.id,
                        status, (long long)job->rollout->lease.fence);
-            job_free(job, AGAIN_MS);
+            job_free(job, JOB_RETRY_MS);
             return;
     }
 }
@@ -362,14 +364,14 @@
     if (!result->whole) {
         log_record(LOG_WARN, "orders", "no-answer", "server=%s state=%d",
                    job->server, (int)job->state);
-        job_free(job, AGAIN_MS);
+        job_free(job, JOB_RETRY_MS);
         return;
     }
     if (job->state == JOB_ORDER) {
-        take_job_answer(job, server, result->status);
+        job_take_order_status(job, server, result->status);
         return;
     }
-    take_job_report(job, server, result);
+    job_take_report(job, server, result);
 }
 
 static void
@@ -380,46 +382,46 @@
     CK_LIST_FOREACH_SAFE (job, &rollout->jobs, entry, next) {
         server_t *server = servers_find(rollout->relay->servers, job->server);
         if (server == NULL || server->info.weights >= job->version ||
-            now - job->began_ms > ORDER_SPAN_MS) {
+            now - job->started_ms > JOB_TIMEOUT_MS) {
             job_free(job, 0);
             continue;
         }
-        if (job->state == JOB_QUIET) {
-            if (rollout_can_order(server, job->quiet_ms, now)) {
-                job_order(job, server);
+        if (job->state == JOB_DRAINING) {
+            if (rollout_can_order(server, job->drain_started_ms, now)) {
+                job_send_order(job, server);
             }
             continue;
         }
-        if (job->fetch == NULL && now >= job->next_ms) {
-            job_ask_report(job, server);
+        if (job->fetch == NULL && now >= job->next_poll_ms) {
+            job_request_report(job, server);
         }
     }
 }
 
 static void
-jobs_begin(rollout_t *rollout, const weights_t *weights, int64_t now)
+jobs_start(rollout_t *rollout, const weights_t *weights, int64_t now)
 {
     servers_t *servers = rollout->relay->servers;
-    size_t loading;
-    size_t count = rollout_count(servers, weights->model, &loading);
+    size_t ordered;
+    size_t count = rollout_count(servers, weights->model, &ordered);
     server_t *server;
-    while (loading < rollout_limit(count) &&
+    while (ordered < rollout_limit(count) &&
            (server = rollout_pick(servers, weights->model, weights->version,
                                   now)) != NULL) {
         job_t *job = mem_zalloc(sizeof(*job));
         job->rollout = rollout;
-        job->began_ms = now;
+        job->started_ms = now;
         job->version = weights->version;
         str_copy(job->server, sizeof(job->server), server->info.id);
         str_copy(job->model, sizeof(job->model), weights->model);
         CK_LIST_INSERT_HEAD(&rollout->jobs, job, entry);
         server->ordered = true;
-        loading++;
-        job_ask_report(job, server);
+        ordered++;
+        job_request_report(job, server);
     }
 }
 
-/* One step: look after the lease, and while it is held, after the orders. */
+/* Advances the lease and the jobs, and starts jobs while the lease is held. */
 void
 rollout_tick(rollout_t *rollout)
 {
@@ -433,7 +435,7 @@
         return;
     }
     for (size_t i = 0; i < relay->weights_count; i++) {
-        jobs_begin(rollout, &relay->weights[i], now);
+        jobs_start(rollout, &relay->weights[i], now);
     }
 }
 
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -2,15 +2,17 @@
 
 #include <string.h>
 
-/* Which weights of a model were named, and when.  How long older ones may
- * still be used counts from the naming, so a daemon that starts anew takes
- * the times from the lease's object, where the holder keeps them. */
+/* Published versions of each model's weights and when they were published.
+ * Older versions may be used for a limited time after that, so a daemon that
+ * restarts takes the times from the lease object, where the holder keeps
+ * them. */
 
-/* Part of the time for older weights that is over for a version of unknown
- * age. */
-#define UNKNOWN_PART 2
-/* Part of the time for older weights in which an answer may begin on them. */
-#define BEGIN_PART 0.95
+/* A version of unknown age is assumed to have been published this part of the
+ * allowed time for older weights ago. */
+#define UNKNOWN_AGE_DIVISOR 2
+/* Share of the allowed time for older weights in which an answer may start on
+ * them. */
+#define START_SHARE 0.95
 
 const weights_t *
 relay_weights(const relay_t *relay, const char *model)
@@ -24,14 +26,16 @@
 }
 
 static weights_t *
-weights_get(relay_t *relay, const char *model)
+weights_find_or_add(relay_t *relay, const char *model)
 {
     weights_t *weights = (weights_t *)relay_weights(relay, model);
     if (weights != NULL) {
         return weights;
     }
     if (relay->weights_count == WEIGHTS_MODELS_MAX) {
-        log_error("weights", "There is no room for model %s.", model);
+        log_error("weights",
+                  "Too many models: the weights of %s are not tracked.",
+                  model);
         return NULL;
     }
     weights = &relay->weights[relay->weights_count++];
@@ -40,21 +44,22 @@
     return weights;
 }
 
-/* Put a version in, the newest first.  The earliest time that anybody knows of
- * its naming counts, and any that is known goes before a guess. */
+/* Inserts a version, the newest first.  Of several publication times the
+ * earliest is kept; a known time replaces an estimate. */
 static void
-named_put(weights_t *weights, int64_t version, int64_t named_ms, bool guessed)
+published_insert(weights_t *weights, int64_t version, int64_t named_ms,
+                 bool guessed)
 {
     size_t at = 0;
     while (at < weights->named_count && weights->named[at].version > version) {
         at++;
     }
     if (at < weights->named_count && weights->named[at].version == version) {
-        weights_named_t *known = &weights->named[at];
-        bool better = known->guessed != guessed ? known->guessed
-                                                : named_ms < known->named_ms;
+        weights_named_t *entry = &weights->named[at];
+        bool better = entry->guessed != guessed ? entry->guessed
+                                                : named_ms < entry->named_ms;
         if (better) {
-            *known = (weights_named_t){version, named_ms, guessed};
+            *entry = (weights_named_t){version, named_ms, guessed};
         }
         return;
     }
@@ -70,14 +75,14 @@
 }
 
 static void
-weights_put(relay_t *relay, const char *model, int64_t version,
-            int64_t named_ms, bool guessed)
+weights_insert(relay_t *relay, const char *model, int64_t version,
+               int64_t named_ms, bool guessed)
 {
-    weights_t *weights = weights_get(relay, model);
+    weights_t *weights = weights_find_or_add(relay, model);
     if (weights == NULL) {
         return;
     }
-    named_put(weights, version, named_ms, guessed);
+    published_insert(weights, version, named_ms, guessed);
     if (version > weights->version) {
         weights->version = version;
         log_record(LOG_INFO, "weights", "named", "model=%s version=%lld",
@@ -85,30 +90,30 @@
     }
 }
 
-/* A version of a model was named at that time of day. */
+/* Records a version of a model and the wall-clock time of its publication. */
 void
 weights_note(relay_t *relay, const char *model, int64_t version,
              int64_t named_ms)
 {
-    weights_put(relay, model, version, named_ms, false);
+    weights_insert(relay, model, version, named_ms, false);
 }
 
-/* The same where the time is only a bound that another daemon estimated.  It
- * is kept until the time is known, or a daemon that starts later would
- * estimate a later one. */
+/* Records a version with a publication time that another daemon estimated.
+ * The estimate is kept until the time is known; otherwise a daemon that starts
+ * later would make a later estimate of its own. */
 void
 weights_note_bound(relay_t *relay, const char *model, int64_t version,
                    int64_t named_ms)
 {
-    weights_put(relay, model, version, named_ms, true);
+    weights_insert(relay, model, version, named_ms, true);
 }
 
-/* A daemon hears of a version by the store.  What stands in its first list may
- * have been named long before; the lease's object tells when, but for versions
- * that were named while nobody held the lease, as when hosts restart in turn.
- * So it takes half of the time that older weights may be used for over:
- * otherwise a daemon that restarts behind a naming would use replaced weights
- * too long. */
+/* Records a version that was read from the store.  A version in the daemon's
+ * first list may have been published long before.  The lease object has its
+ * time, except for versions published while no host held the lease, as in a
+ * rolling restart.  So half of the allowed time for older weights is counted
+ * as over: otherwise a daemon that restarts after a publication would use
+ * replaced weights for too long. */
 void
 weights_observe(relay_t *relay, const char *model, int64_t version,
                 int64_t wall_ms)
@@ -116,23 +121,23 @@
     int64_t before_ms =
         relay->weights_listed
             ? 0
-            : (int64_t)relay->settings.weights_ms / UNKNOWN_PART;
-    weights_put(relay, model, version, wall_ms - before_ms, before_ms > 0);
+            : (int64_t)relay->settings.weights_ms / UNKNOWN_AGE_DIVISOR;
+    weights_insert(relay, model, version, wall_ms - before_ms, before_ms > 0);
 }
 
-/* Whether an answer on a version may not begin any more, when older weights
- * may be used for so long.  The last part is left for the time that a closing
- * takes to reach the server and for clocks that differ. */
+/* Whether it is too late to start an answer on a version, if older weights may
+ * be used for allowed_ms.  The rest of that time covers the delay until the
+ * server sees a closed connection, and clock differences. */
 bool
 weights_expired(const weights_t *weights, int64_t version, int64_t wall_ms,
                 int64_t allowed_ms)
 {
     return weights_older_ms(weights, version, wall_ms) >=
-           (int64_t)(BEGIN_PART * (double)allowed_ms);
+           (int64_t)(START_SHARE * (double)allowed_ms);
 }
 
-/* For how long a version has been replaced: since the first newer one was
- * named; 0 if there is none. */
+/* Returns the time since the first newer version was published; 0 if there is
+ * none. */
 int64_t
 weights_older_ms(const weights_t *weights, int64_t version, int64_t wall_ms)
 {
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -6,10 +6,10 @@
 #define SERVERS 12
 #define STEP_MS 50
 #define LOAD_MS 570
-/* Of loads beyond this many at once each takes so much longer. */
-#define LOADS_FULL_SPEED 2
-/* Weights must be in force within this time, ms. */
-#define FORCE_MS 8000
+/* With more concurrent loads than this, each takes longer in proportion. */
+#define FULL_SPEED_LOADS_MAX 2
+/* All servers must have the new weights within this time. */
+#define ROLLOUT_MAX_MS 8000
 
 static server_t *
 server_add(servers_t *servers, int i)
@@ -22,10 +22,10 @@
     return servers_put(servers, &entry);
 }
 
-/* Another host's long answer runs at a server; the server is ordered when that
- * host says that it is over, or when the time for it has passed.  A host that
- * falls silent does not hold the rollout up. */
-START_TEST(a_server_is_ordered_when_it_is_quiet)
+/* A long answer for another host runs on a server.  The server is ordered when
+ * that host reports that it has ended, or after ROLLOUT_DRAIN_MS, so that a
+ * host that stops reporting does not block the rollout. */
+START_TEST(server_is_ordered_when_drained)
 {
     servers_t *servers = servers_new();
     server_t *server = server_add(servers, 1);
@@ -51,14 +51,14 @@
 
 typedef struct {
     server_t *server;
-    int64_t ends_ms;  /* of the longest answer that it runs */
-    int64_t quiet_ms; /* 0 until it is picked */
+    int64_t ends_ms;          /* end of its longest running answer */
+    int64_t drain_started_ms; /* 0 until it is picked */
     int64_t load_left_ms;
     bool loading;
-} play_server_t;
+} sim_server_t;
 
 static void
-begin_picked(servers_t *servers, play_server_t *all, int64_t now)
+order_picked(servers_t *servers, sim_server_t *all, int64_t now)
 {
     size_t ordered;
     size_t count = rollout_count(servers, "m", &ordered);
@@ -69,43 +69,43 @@
         ordered++;
         for (int i = 0; i < SERVERS; i++) {
             if (all[i].server == server) {
-                all[i].quiet_ms = now;
+                all[i].drain_started_ms = now;
             }
         }
     }
 }
 
 static void
-step_one(play_server_t *one, int loading, int64_t now)
+step_server(sim_server_t *sim, int loading, int64_t now)
 {
-    if (one->quiet_ms == 0 || one->server->info.weights == 2) {
+    if (sim->drain_started_ms == 0 || sim->server->info.weights == 2) {
         return;
     }
-    if (now >= one->ends_ms && one->server->own_running > 0) {
-        server_done(one->server);
+    if (now >= sim->ends_ms && sim->server->own_running > 0) {
+        server_done(sim->server);
     }
-    if (!one->loading) {
-        one->loading = rollout_can_order(one->server, one->quiet_ms, now);
-        one->load_left_ms = LOAD_MS;
+    if (!sim->loading) {
+        sim->loading =
+            rollout_can_order(sim->server, sim->drain_started_ms, now);
+        sim->load_left_ms = LOAD_MS;
         return;
     }
-    one->load_left_ms -= loading > LOADS_FULL_SPEED
-                             ? STEP_MS * LOADS_FULL_SPEED / loading
+    sim->load_left_ms -= loading > FULL_SPEED_LOADS_MAX
+                             ? STEP_MS * FULL_SPEED_LOADS_MAX / loading
                              : STEP_MS;
-    if (one->load_left_ms <= 0) {
-        one->server->info.weights = 2;
-        one->server->ordered = false;
+    if (sim->load_left_ms <= 0) {
+        sim->server->info.weights = 2;
+        sim->server->ordered = false;
     }
 }
 
-/* Callers get answers on weights that were replaced seconds ago: each engine
- * runs an answer that takes three seconds, and a rollout that waits for them
- * takes longer than new weights may take.  All engines must be on the new ones
- * in time. */
-START_TEST(long_answers_do_not_hold_a_rollout_up)
+/* Guards against answers on weights that were replaced seconds ago.  Each
+ * engine runs an answer that takes three seconds; a rollout that waited for
+ * them would take longer than allowed. */
+START_TEST(long_answers_do_not_delay_rollout)
 {
     servers_t *servers = servers_new();
-    play_server_t all[SERVERS] = {0};
+    sim_server_t all[SERVERS] = {0};
     int64_t now = 1000;
     int left = SERVERS;
     for (int i = 0; i < SERVERS; i++) {
@@ -115,25 +115,25 @@
     while (left > 0 && now < 60000) {
         int loading = 0;
         left = 0;
-        begin_picked(servers, all, now);
+        order_picked(servers, all, now);
         for (int i = 0; i < SERVERS; i++) {
             loading += all[i].loading && all[i].server->info.weights < 2;
-            if (all[i].quiet_ms == 0) {
+            if (all[i].drain_started_ms == 0) {
                 all[i].ends_ms = now + 3000;
             }
         }
         for (int i = 0; i < SERVERS; i++) {
-            step_one(&all[i], loading, now);
+            step_server(&all[i], loading, now);
             left += all[i].server->info.weights < 2;
         }
         now += STEP_MS;
     }
     printf("all on the new weights after %lld ms\n", (long long)(now - 1000));
     ck_assert_int_eq(left, 0);
-    ck_assert_int_le(now - 1000, FORCE_MS);
+    ck_assert_int_le(now - 1000, ROLLOUT_MAX_MS);
     servers_free(servers);
 }
 END_TEST
 
-TEST_MAIN("rollout-plan", a_server_is_ordered_when_it_is_quiet,
-          long_answers_do_not_hold_a_rollout_up)
+TEST_MAIN("rollout-plan", server_is_ordered_when_drained,
+          long_answers_do_not_delay_rollout)
--- a/tests/test-weights.c
+++ b/tests/test-weights.c
@@ -6,7 +6,7 @@
 #define WEIGHTS_MS 10000
 
 static relay_t *
-relay_of(bool listed)
+relay_new(bool listed)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->settings.weights_ms = WEIGHTS_MS;
@@ -15,13 +15,13 @@
     return relay;
 }
 
-/* Hosts restart in turn, so that nobody holds the lease while version 3 is
- * named.  A daemon that starts 1.3 s later finds it in its first list.  It
- * must not send requests to version 2 for as long as if it had just been
- * named. */
-START_TEST(a_version_of_unknown_age_is_not_taken_for_new)
+/* During a rolling restart no host holds the lease while version 3 is
+ * published.  A daemon that starts 1.3 s later finds it in its first list.  It
+ * must not use version 2 for as long as if version 3 had just been
+ * published. */
+START_TEST(version_of_unknown_age_is_not_new)
 {
-    relay_t *relay = relay_of(false);
+    relay_t *relay = relay_new(false);
     weights_observe(relay, "m", 3, 100000);
     const weights_t *weights = relay_weights(relay, "m");
     ck_assert_int_eq(weights->version, 3);
@@ -30,10 +30,10 @@
 }
 END_TEST
 
-/* The lease's object tells the time after all. */
-START_TEST(a_known_time_goes_before_a_guess)
+/* The lease object has the publication time, which replaces the estimate. */
+START_TEST(known_time_replaces_estimate)
 {
-    relay_t *relay = relay_of(false);
+    relay_t *relay = relay_new(false);
     weights_observe(relay, "m", 3, 100000);
     weights_note(relay, "m", 3, 99500);
     const weights_t *weights = relay_weights(relay, "m");
@@ -44,12 +44,12 @@
 }
 END_TEST
 
-/* The holder itself started behind the naming and could only guess.  A daemon
- * that starts seven seconds later takes that guess, not a later one of its
- * own. */
-START_TEST(an_older_guess_goes_before_ones_own)
+/* The holder started after the publication and could only estimate its time. A
+ * daemon that starts seven seconds later takes that estimate instead of a
+ * later one of its own. */
+START_TEST(earlier_estimate_replaces_own)
 {
-    relay_t *relay = relay_of(false);
+    relay_t *relay = relay_new(false);
     weights_observe(relay, "m", 3, 107000);
     weights_note_bound(relay, "m", 3, 95000);
     const weights_t *weights = relay_weights(relay, "m");
@@ -60,9 +60,9 @@
 }
 END_TEST
 
-START_TEST(a_version_that_is_seen_to_be_named_is_new)
+START_TEST(version_observed_after_first_list_is_new)
 {
-    relay_t *relay = relay_of(true);
+    relay_t *relay = relay_new(true);
     weights_observe(relay, "m", 3, 100000);
     const weights_t *weights = relay_weights(relay, "m");
     ck_assert_int_eq(weights_older_ms(weights, 2, 103000), 3000);
@@ -71,12 +71,12 @@
 }
 END_TEST
 
-/* A third version is named while the second is still being loaded.  What is on
- * the first counts from the naming of the second, and the earliest time that
- * anybody knows holds. */
-START_TEST(the_oldest_newer_version_counts)
+/* Version 3 is published while version 2 is still being loaded.  The age of
+ * version 1 counts from the publication of version 2, and of several times for
+ * one version the earliest counts. */
+START_TEST(first_newer_version_counts)
 {
-    relay_t *relay = relay_of(true);
+    relay_t *relay = relay_new(true);
     weights_note(relay, "m", 3, 107000);
     weights_note(relay, "m", 2, 102500);
     weights_note(relay, "m", 2, 102000);
@@ -89,10 +89,10 @@
 }
 END_TEST
 
-/* A caller gets an answer of weights that were replaced ten seconds ago: its
- * request was sent to them in time and then waited two and a half seconds at
- * a slow server.  It must be taken back before it begins there. */
-START_TEST(a_waiting_request_outlives_its_weights)
+/* Guards against an answer on weights that were replaced ten seconds ago: the
+ * request was sent in time and then waited for two and a half seconds at a
+ * slow server.  It must be withdrawn before it starts there. */
+START_TEST(waiting_request_expires_with_weights)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->weights_listed = true;
@@ -108,9 +108,7 @@
 }
 END_TEST
 
-TEST_MAIN("weights", a_waiting_request_outlives_its_weights,
-          a_version_of_unknown_age_is_not_taken_for_new,
-          a_known_time_goes_before_a_guess,
-          an_older_guess_goes_before_ones_own,
-          a_version_that_is_seen_to_be_named_is_new,
-          the_oldest_newer_version_counts)
+TEST_MAIN("weights", waiting_request_expires_with_weights,
+          version_of_unknown_age_is_not_new, known_time_replaces_estimate,
+          earlier_estimate_replaces_own,
+          version_observed_after_first_list_is_new, first_newer_version_counts)
