--- a/relay/relay-config.c
+++ b/relay/relay-config.c
@@ -44,8 +44,8 @@
     free(config);
 }
 
-/* Requests hold the configuration that they came under, so the last of them
- * frees it. */
+/* Drops a reference.  Each request holds the configuration under which it
+ * arrived, so the last one frees a replaced configuration. */
 void
 relay_config_release(relay_config_t *config)
 {
@@ -54,17 +54,18 @@
     }
 }
 
-/* Hosts are compared in any case, so they are hashed in lower case. */
+/* Host names are compared without regard to case, so they are hashed in lower
+ * case. */
 static size_t
 host_bucket(const char *host, size_t len)
 {
     char lower[ROUTE_HOST_MAX];
-    size_t room = len < sizeof(lower) ? len : sizeof(lower);
-    for (size_t i = 0; i < room; i++) {
+    size_t hashed_len = len < sizeof(lower) ? len : sizeof(lower);
+    for (size_t i = 0; i < hashed_len; i++) {
         char c = host[i];
         lower[i] = c >= 'A' && c <= 'Z' ? (char)(c - 'A' + 'a') : c;
     }
-    return (size_t)(XXH3_64bits(lower, room) % CONFIG_BUCKETS);
+    return (size_t)(XXH3_64bits(lower, hashed_len) % CONFIG_BUCKETS);
 }
 
 static size_t
@@ -73,7 +74,8 @@
     return (size_t)(XXH3_64bits(key, strlen(key)) % CONFIG_BUCKETS);
 }
 
-/* Take a route over, the longest path prefix of a host first. */
+/* Adds a route and takes ownership.  Routes with longer path prefixes come
+ * first. */
 void
 relay_config_add_route(relay_config_t *config, route_t *route)
 {
@@ -105,7 +107,7 @@
     CK_SLIST_INSERT_HEAD(&config->keys[key_bucket(key)], entry, entry);
 }
 
-/* The route of the host whose prefix is the longest that begins the path. */
+/* Returns the host's route with the longest prefix of the path, or NULL. */
 const route_t *
 relay_config_find_route(const relay_config_t *config, const char *host,
                         size_t host_len, const char *path, size_t path_len)
@@ -124,7 +126,7 @@
     return NULL;
 }
 
-/* The workspace that holds a key, or NULL. */
+/* Returns the workspace of an access key, or NULL. */
 const workspace_entry_t *
 relay_config_find_workspace(const relay_config_t *config, const char *key)
 {
@@ -149,8 +151,8 @@
     return NULL;
 }
 
-/* The service that a request goes to, by the weights of the route's split.
- * The same draw gives the same service as long as the split stays. */
+/* Chooses a service by the weights of the route's traffic split.  The same
+ * draw gives the same service as long as the split does not change. */
 const char *
 route_pick_service(const route_t *route, uint64_t draw)
 {
--- a/relay/relay-config.h
+++ b/relay/relay-config.h
@@ -1,9 +1,9 @@
 #ifndef CELERYSPOOL_RELAY_CONFIG_H
 #define CELERYSPOOL_RELAY_CONFIG_H
 
-/* The configuration of a relay: routes by host and path, services,
- * workspaces by key.  Decoded by platform/config-read.c, never changed once
- * it is in force, counted by reference. */
+/* The configuration of a relay: routes by host and path, services, workspaces
+ * by access key.  Decoded by platform/config-read.c, immutable once in force,
+ * reference-counted. */
 
 #include "../kernel/http-door.h"
 
@@ -16,8 +16,8 @@
 
 typedef enum {
     ROUTE_IDEMPOTENT,     /* may run more than once */
-    ROUTE_NON_IDEMPOTENT, /* runs once at most */
-    ROUTE_STREAM          /* runs once at most, unless it may be resumed */
+    ROUTE_NON_IDEMPOTENT, /* runs at most once */
+    ROUTE_STREAM          /* runs at most once, unless it can be resumed */
 } route_kind_t;
 
 typedef struct {
@@ -26,18 +26,18 @@
 } route_split_t;
 
 typedef struct route {
-    CK_SLIST_ENTRY(route) entry; /* of its host */
+    CK_SLIST_ENTRY(route) entry; /* in the bucket of its host */
     char name[CS_NAME_MAX];
     char host[ROUTE_HOST_MAX];
-    char prefix[ROUTE_PREFIX_MAX]; /* of the path, with both slashes */
+    char prefix[ROUTE_PREFIX_MAX]; /* with leading and trailing slash */
     route_kind_t kind;
     bool resumable;
-    bool public;           /* needs no key */
-    int timeout_ms;        /* the longest that a caller is kept waiting */
-    int target_latency_ms; /* to the answer, of a stream to its first event */
-    int target_gap_ms; /* longest pause of a stream that is still in time */
-    int attempts;      /* servers that one request may be sent to */
-    int priority;      /* 0 is the most urgent */
+    bool public;           /* needs no access key */
+    int timeout_ms;        /* longest time that a caller waits */
+    int target_latency_ms; /* until the answer, or a stream's first event */
+    int target_gap_ms;     /* longest acceptable pause in a stream */
+    int attempts;          /* most servers to which one request is sent */
+    int priority;          /* 0 is the most urgent */
     route_split_t split[ROUTE_SPLIT_MAX];
     unsigned split_count;
 } route_t;
@@ -46,30 +46,29 @@
     CK_SLIST_ENTRY(relay_service) entry;
     char name[CS_NAME_MAX];
     bool engine;   /* serves a model in batches, with a prefix cache */
-    bool kv_store; /* keeps cached parts; takes no requests */
-    char addr[CS_ADDR_MAX]; /* of a kv_store */
-    char dc[CS_NAME_MAX];   /* of a kv_store */
-    char
-        health_path[CS_NAME_MAX]; /* path of the question whether it is well */
-    int slots;                    /* of each engine */
-    int64_t cache_tokens;         /* memory of each engine or of a kv_store */
-    int64_t bytes_per_token;      /* cached, of each token; 0: unknown */
-    double link_bits_per_ms;      /* for cached parts; 0: unknown */
-    int max_event_calls;          /* event calls that a server bears at once */
-    int max_connections;          /* that a server takes from all callers */
+    bool kv_store; /* stores cached parts; serves no requests */
+    char addr[CS_ADDR_MAX];        /* of a kv_store */
+    char dc[CS_NAME_MAX];          /* of a kv_store */
+    char health_path[CS_NAME_MAX]; /* path of the health check */
+    int slots;                     /* of each engine */
+    int64_t cache_tokens;    /* capacity of each engine or of a kv_store */
+    int64_t bytes_per_token; /* of cached parts; 0: unknown */
+    double link_bits_per_ms; /* for transfers of cached parts; 0: unknown */
+    int max_event_calls;     /* most concurrent event calls to a server */
+    int max_connections;     /* of a server, from all callers */
 } relay_service_t;
 
-/* What a workspace's limit counts. */
+/* The unit of a workspace's limit. */
 typedef enum { LIMIT_REQUESTS, LIMIT_TOKENS } limit_unit_t;
 
 typedef struct workspace_entry {
     char name[CS_NAME_MAX];
     limit_unit_t limit_unit;
-    double limit_rate;     /* units a second over all hosts; 0 for no limit */
+    double limit_rate;     /* units a second over all hosts; 0: no limit */
     double limit_burst;    /* units at once */
-    double default_tokens; /* of a request that names none */
-    bool isolated;         /* shares no cached part with another workspace */
-    bool has_priority;     /* which then goes before the route's */
+    double default_tokens; /* charged if a request states none */
+    bool isolated;         /* shares no cached parts with other workspaces */
+    bool has_priority;     /* priority overrides the route's */
     int priority;
 } workspace_entry_t;
 
@@ -87,12 +86,12 @@
 
 typedef struct relay_config {
     unsigned refs;
-    int64_t version;    /* the operator's count */
-    int64_t revision;   /* the store's */
-    bool keys_required; /* requests carry keys */
+    int64_t version;    /* set by the operator */
+    int64_t revision;   /* of the object in the store */
+    bool keys_required; /* requests need an access key */
     edge_limits_t limits;
-    route_list_t routes[CONFIG_BUCKETS]; /* by host */
-    key_list_t keys[CONFIG_BUCKETS];
+    route_list_t routes[CONFIG_BUCKETS]; /* by hash of the host */
+    key_list_t keys[CONFIG_BUCKETS];     /* by hash of the key */
     relay_services_t services;
     workspace_entry_t *workspaces;
     size_t workspace_count;
--- a/tests/test-relay-config.c
+++ b/tests/test-relay-config.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-static const char text[] =
+static const char full_spec[] =
     "{\"version\":7,\"routes\":["
     "{\"name\":\"long\",\"host\":\"a.example\",\"path_prefix\":\"/x/y/\","
     "\"kind\":\"idempotent\",\"timeout_ms\":900,\"service\":\"s1\"},"
@@ -27,7 +27,7 @@
     "\"access_keys\":[\"k3\"]}]}";
 
 static relay_config_t *
-config_of(const char *spec, err_t *err)
+read_config(const char *spec, err_t *err)
 {
     CLEAN_JSON json_t *doc = json_loads(spec, 0, NULL);
     store_object_t object = {.name = "main", .revision = 42, .spec = doc};
@@ -35,33 +35,33 @@
 }
 
 static const char *
-route_of(const relay_config_t *config, const char *host, const char *path)
+route_name(const relay_config_t *config, const char *host, const char *path)
 {
     const route_t *route = relay_config_find_route(config, host, strlen(host),
                                                    path, strlen(path));
     return route == NULL ? "none" : route->name;
 }
 
-START_TEST(the_longest_prefix_of_the_host_counts)
+START_TEST(longest_prefix_of_host_matches)
 {
     err_t err = {0};
-    relay_config_t *config = config_of(text, &err);
+    relay_config_t *config = read_config(full_spec, &err);
     ck_assert_ptr_nonnull(config);
     ck_assert_int_eq(config->version, 7);
     ck_assert_int_eq(config->revision, 42);
-    ck_assert_str_eq(route_of(config, "a.example", "/x/y/z"), "long");
-    ck_assert_str_eq(route_of(config, "A.Example", "/x/q"), "short");
-    ck_assert_str_eq(route_of(config, "a.example", "/xy"), "none");
-    ck_assert_str_eq(route_of(config, "c.example", "/x/"), "none");
-    ck_assert_str_eq(route_of(config, "b.example", "/any"), "st");
+    ck_assert_str_eq(route_name(config, "a.example", "/x/y/z"), "long");
+    ck_assert_str_eq(route_name(config, "A.Example", "/x/q"), "short");
+    ck_assert_str_eq(route_name(config, "a.example", "/xy"), "none");
+    ck_assert_str_eq(route_name(config, "c.example", "/x/"), "none");
+    ck_assert_str_eq(route_name(config, "b.example", "/any"), "st");
     relay_config_release(config);
 }
 END_TEST
 
-START_TEST(fields_are_what_they_say)
+START_TEST(fields_are_read)
 {
     err_t err = {0};
-    relay_config_t *config = config_of(text, &err);
+    relay_config_t *config = read_config(full_spec, &err);
     const route_t *route =
         relay_config_find_route(config, "b.example", 9, "/any", 4);
     ck_assert_int_eq(route->kind, ROUTE_STREAM);
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-static const char limited[] =
+static const char limits_spec[] =
     "{\"version\":1,\"routes\":[],\"tenants\":["
     "{\"name\":\"t1\",\"unit\":\"tokens\",\"rate_per_s\":36000.5,"
     "\"burst\":40000,\"uncached_tokens\":200},"
@@ -87,10 +87,10 @@
     "{\"name\":\"t3\",\"rate_per_s\":0},"
     "{\"name\":\"t4\",\"rate_per_s\":null}]}";
 
-START_TEST(limits_of_workspaces_are_read)
+START_TEST(workspace_limits_are_read)
 {
     err_t err = {0};
-    relay_config_t *config = config_of(limited, &err);
+    relay_config_t *config = read_config(limits_spec, &err);
     ck_assert_ptr_nonnull(config);
     const workspace_entry_t *workspaces = config->workspaces;
     ck_assert_int_eq(workspaces[0].limit_unit, LIMIT_TOKENS);
@@ -105,31 +105,31 @@
 }
 END_TEST
 
-/* Guards against a limit that cannot be read being taken for none. */
-START_TEST(limits_that_are_no_numbers_are_refused)
+/* Guards against an invalid limit that is read as no limit. */
+START_TEST(invalid_limits_are_rejected)
 {
-    static const char *const wrong[][2] = {{"rate_per_s", "\"10\""},
-                                           {"rate_per_s", "-1"},
-                                           {"burst", "[]"},
-                                           {"uncached_tokens", "true"}};
-    for (size_t i = 0; i < sizeof(wrong) / sizeof(wrong[0]); i++) {
+    static const char *const bad[][2] = {{"rate_per_s", "\"10\""},
+                                         {"rate_per_s", "-1"},
+                                         {"burst", "[]"},
+                                         {"uncached_tokens", "true"}};
+    for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
         err_t err = {0};
         char spec[256];
         (void)snprintf(spec, sizeof(spec),
                        "{\"version\":1,\"routes\":[],\"tenants\":"
                        "[{\"name\":\"t1\",\"%s\":%s}]}",
-                       wrong[i][0], wrong[i][1]);
-        ck_assert_ptr_null(config_of(spec, &err));
+                       bad[i][0], bad[i][1]);
+        ck_assert_ptr_null(read_config(spec, &err));
         ck_assert_ptr_nonnull(strstr(err.text, "t1"));
-        ck_assert_ptr_nonnull(strstr(err.text, wrong[i][0]));
+        ck_assert_ptr_nonnull(strstr(err.text, bad[i][0]));
     }
 }
 END_TEST
 
-START_TEST(a_split_follows_its_weights)
+START_TEST(split_follows_weights)
 {
     err_t err = {0};
-    relay_config_t *config = config_of(text, &err);
+    relay_config_t *config = read_config(full_spec, &err);
     const route_t *route =
         relay_config_find_route(config, "a.example", 9, "/x/", 3);
     unsigned second = 0;
@@ -141,9 +141,9 @@
 }
 END_TEST
 
-/* A configuration that cannot be read whole changes nothing: half of it would
- * send requests where none of them may go. */
-START_TEST(what_cannot_be_read_whole_is_refused)
+/* A configuration that is invalid in any part is rejected: half of one could
+ * route requests to the wrong services. */
+START_TEST(invalid_configurations_are_rejected)
 {
     static const char *const bad[] = {
         "{}",
@@ -158,14 +158,14 @@
     };
     for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
         err_t err = {0};
-        ck_assert_ptr_null(config_of(bad[i], &err));
+        ck_assert_ptr_null(read_config(bad[i], &err));
         ck_assert_int_gt((int)strlen(err.text), 0);
     }
 }
 END_TEST
 
 static int
-entry_of(const char *spec, server_entry_t *entry)
+read_entry(const char *spec, server_entry_t *entry)
 {
     err_t err = {0};
     CLEAN_JSON json_t *doc = json_loads(spec, 0, NULL);
@@ -173,9 +173,8 @@
     return platform_server_read(entry, &object, &err);
 }
 
-/* An entry comes from a foreign writer.  It names no server, and the others
- * hold. */
-START_TEST(a_foreign_entry_names_no_server)
+/* An invalid entry from another writer is rejected. */
+START_TEST(invalid_entries_are_rejected)
 {
     static const char good[] =
         "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
@@ -197,18 +196,19 @@
         "\"slots\":4,\"state\":\"ready\",\"born\":\"now\"}",
     };
     server_entry_t entry;
-    ck_assert_int_eq(entry_of(good, &entry), 0);
+    ck_assert_int_eq(read_entry(good, &entry), 0);
     ck_assert(entry.engine);
     ck_assert_int_eq(entry.weights, 3);
     for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-        ck_assert_msg(entry_of(bad[i], &entry) != 0, "entry %zu was taken", i);
+        ck_assert_msg(read_entry(bad[i], &entry) != 0,
+                      "entry %zu was accepted", i);
     }
 }
 END_TEST
 
-/* An answer of the store is damaged on its way, or holds what no writer of
- * ours made.  Seeded damage; nothing is read beyond it. */
-START_TEST(damaged_pages_do_no_harm)
+/* An answer of the store is corrupted, or holds entries of other writers.  The
+ * corruption comes from a seed; nothing is read out of bounds. */
+START_TEST(corrupted_pages_are_read_safely)
 {
     static const char page_text[] =
         "{\"items\":[{\"metadata\":{\"name\":\"i-1\",\"revision\":4},"
@@ -238,9 +238,9 @@
 }
 END_TEST
 
-/* One entry of the list holds bytes that are no text.  The others must still
- * be read, or a foreign writer could take all servers away. */
-START_TEST(bytes_that_are_no_text_spoil_one_entry_only)
+/* An entry of a list contains invalid text.  The others must still be
+ * read, or another writer could make all servers disappear. */
+START_TEST(invalid_text_affects_one_entry)
 {
     static const char page_text[] =
         "{\"items\":[{\"metadata\":{\"name\":\"bad\",\"revision\":4},"
@@ -259,8 +259,8 @@
 }
 END_TEST
 
-/* Parts kept under older weights, or by another workspace where one of the
- * two is isolated, must not be found. */
+/* Parts cached under older weights, or by another workspace if one of the two
+ * is isolated, must not be found. */
 START_TEST(salts_differ_by_weights_and_isolation)
 {
     char shared[CS_ID_LEN + 1];
@@ -277,7 +277,7 @@
 }
 END_TEST
 
-START_TEST(parts_of_a_prompt_are_read)
+START_TEST(prompt_parts_are_read)
 {
     prompt_t prompt = {0};
     prefix_t prefix;
@@ -292,10 +292,9 @@
 }
 END_TEST
 
-TEST_MAIN("relay-config", the_longest_prefix_of_the_host_counts,
-          fields_are_what_they_say, limits_of_workspaces_are_read,
-          limits_that_are_no_numbers_are_refused, a_split_follows_its_weights,
-          what_cannot_be_read_whole_is_refused,
-          a_foreign_entry_names_no_server, damaged_pages_do_no_harm,
-          bytes_that_are_no_text_spoil_one_entry_only,
-          salts_differ_by_weights_and_isolation, parts_of_a_prompt_are_read)
+TEST_MAIN("relay-config", longest_prefix_of_host_matches, fields_are_read,
+          workspace_limits_are_read, invalid_limits_are_rejected,
+          split_follows_weights, invalid_configurations_are_rejected,
+          invalid_entries_are_rejected, corrupted_pages_are_read_safely,
+          invalid_text_affects_one_entry,
+          salts_differ_by_weights_and_isolation, prompt_parts_are_read)
