--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -255,7 +255,7 @@
 on_weights(void *arg, const store_object_t *object)
 {
     relay_t *relay = arg;
-    weights_version_t name;
+    newest_weights_t name;
     err_t err = {0};
     object_cache_put(relay->objects, KIND_WEIGHTS, object);
     if (object->removed) {
