--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -1,53 +1,54 @@
 #ifndef CELERYSPOOL_CACHE_SOURCE_H
 #define CELERYSPOOL_CACHE_SOURCE_H
 
-/* Where a server can fetch parts of a prompt that it does not hold. */
+/* Where a server can fetch cached parts of a prompt that it does not hold. */
 
 #include "prompt.h"
 #include "relay.h"
 
-/* The numbers from which on the cache map knows the kv stores. */
-#define KV_STORE_NUMBER SERVER_NUMBERS_MAX
-_Static_assert(KV_STORE_NUMBER + KV_STORES_MAX == SERVERS_MAX,
+/* The cache map's first number of a kv store. */
+#define KV_STORE_NUMBER_MIN SERVER_NUMBERS_MAX
+_Static_assert(KV_STORE_NUMBER_MIN + KV_STORES_MAX == HOLDER_NUMBERS_MAX,
                "numbers of stores");
 
 typedef struct {
-    uint32_t tokens; /* of the prompt that the source holds */
+    uint32_t tokens; /* prompt tokens that the source holds */
     char addr[CS_ADDR_MAX];
-    bool same_dc; /* as the server that fetches */
-    bool kv_store;
+    bool same_dc;        /* in the data centre of the fetching server */
+    bool kv_store;       /* a kv store; else a server */
     double ms_per_token; /* over the slower of the two links */
 } cache_source_t;
 
 typedef struct {
-    uint32_t here;   /* tokens that the server itself is believed to hold */
-    uint32_t shared; /* tokens that are not the request's own */
-    bool found;
-    cache_source_t source; /* the best that holds more, if found */
+    uint32_t held_tokens;   /* held or being prefilled by the server */
+    uint32_t shared_tokens; /* in the prompt's shared parts */
+    bool found;             /* another holder has more of the prompt */
+    cache_source_t source;  /* valid if found */
 } cache_view_t;
 
-void cache_look(relay_t *relay, const prefix_t *prefix, const server_t *server,
-                cache_view_t *out);
-void cache_note(relay_t *relay, const prefix_t *prefix, uint16_t number);
+void cache_lookup(relay_t *relay, const prefix_t *prefix,
+                  const server_t *server, cache_view_t *out);
+void cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number);
 void cache_appeared(relay_t *relay, const char *holder,
                     const cached_part_t *part);
 bool cache_evicted(relay_t *relay, const char *holder, uint64_t key);
-void cache_apply(relay_t *relay, const char *holder,
-                 const cached_part_t *part);
-void cache_forget(relay_t *relay, const server_t *server);
-void cache_room(const relay_t *relay, const server_t *server);
-void cache_rooms(relay_t *relay);
+void cache_apply_notice(relay_t *relay, const char *holder,
+                        const cached_part_t *part);
+void cache_clear(relay_t *relay, const server_t *server);
+void cache_set_capacity(const relay_t *relay, const server_t *server);
+void cache_apply_config(relay_t *relay);
 void cache_note_pending(relay_t *relay, const prefix_t *prefix,
                         uint16_t number);
 bool cache_holds_shared(const prefix_t *prefix, const server_t *server);
 double cache_fetch_ms(const cache_view_t *view);
-const relay_service_t *cache_store_for(const relay_t *relay,
-                                       const prefix_t *prefix,
-                                       uint16_t *number);
-const char *cache_fetch_from(const cache_view_t *view,
-                             const relay_service_t *store);
-bool cache_save(relay_t *relay, const prefix_t *prefix, const server_t *server,
-                uint16_t number);
-bool cache_kept(const relay_t *relay, const prefix_t *prefix, uint16_t number);
+const relay_service_t *cache_find_store(const relay_t *relay,
+                                        const prefix_t *prefix,
+                                        uint16_t *number);
+const char *cache_fetch_address(const cache_view_t *view,
+                                const relay_service_t *store);
+bool cache_should_save(relay_t *relay, const prefix_t *prefix,
+                       const server_t *server, uint16_t number);
+bool cache_store_has_shared(const relay_t *relay, const prefix_t *prefix,
+                            uint16_t number);
 
 #endif
--- a/relay/kv-stores.h
+++ b/relay/kv-stores.h
@@ -1,10 +1,9 @@
 #ifndef CELERYSPOOL_KV_STORES_H
 #define CELERYSPOOL_KV_STORES_H
 
-/* The kv stores that the configuration names, and what each is
- * believed to hold.  A prompt's parts are kept in one of them, chosen by
- * rendezvous hashing, so that all daemons agree and the stores' room adds up.
- * No I/O and no clock. */
+/* The configured kv stores and their estimated contents.  A prompt's parts are
+ * kept in one of them, chosen by rendezvous hashing, so that all daemons agree
+ * and the stores' capacities add up.  No I/O and no clock. */
 
 #include "../kernel/prefix.h"
 #include "cache-save.h"
@@ -14,9 +13,9 @@
 #define KV_STORES_MAX 8
 
 typedef struct {
-    char name[CS_NAME_MAX]; /* of its service; empty for a free place */
+    char name[CS_NAME_MAX]; /* of the service; empty for a free element */
     cached_parts_t *held;
-    save_share_t saves; /* of this host */
+    save_bucket_t save_bucket; /* limits this host's saves */
 } kv_store_t;
 
 typedef struct {
@@ -25,7 +24,7 @@
 
 void kv_stores_sync(kv_stores_t *stores, const relay_config_t *config);
 void kv_stores_free(kv_stores_t *stores);
-int kv_stores_for(const kv_stores_t *stores, uint64_t key);
-int kv_stores_named(const kv_stores_t *stores, const char *name);
+int kv_stores_choose(const kv_stores_t *stores, uint64_t key);
+int kv_stores_find(const kv_stores_t *stores, const char *name);
 
 #endif
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -1,34 +1,39 @@
 #include "peer-loads.h"
 
-/* The load that this answers: many hosts place small prompts at the same
- * servers.  Each has little at any one of them, and all of them together fill
- * it, so what is not announced adds up to most of a server's queue. */
+/* Many hosts may send small prompts to the same servers.  Each host has little
+ * load on any one server, but together they fill it, so unannounced load can
+ * add up to most of a server's queue.  The steps are therefore small. */
 
-/* Unread tokens that go without an announcement: a few ms of a server's time.
- */
-#define STEP_TOKENS 256
-/* Tokens brought into a server's cache that go without one: a small part of
- * the least room that an engine has. */
+/* Prompt tokens sent, or change of the unread ones, that are announced: a few
+ * ms of a server's time. */
+#define UNREAD_STEP_TOKENS 256
+/* Tokens added to a server's cache that are announced: a small part of the
+ * smallest cache of an engine. */
 #define FILLED_STEP_TOKENS 4000
-/* What has not changed is repeated, ms, before it is taken for outdated. */
+/* An unchanged load is repeated after this time, before peers discard it as
+ * outdated. */
 #define REPEAT_MS 400
 
 static bool
-has_news(const server_t *server, int64_t now)
+needs_announcement(const server_t *server, int64_t now)
 {
-    double change = server->own_unread - server->announced_unread;
-    uint32_t filled = server->filled - server->announced_filled;
-    bool sent = server->sent - server->announced_sent >= STEP_TOKENS;
-    bool emptied = server->own_unread <= 0 && server->announced_unread > 0;
-    bool repeat =
-        server->own_unread > 0 && now - server->announced_ms >= REPEAT_MS;
-    return change >= STEP_TOKENS || change <= -STEP_TOKENS || emptied ||
-           sent || repeat || filled >= FILLED_STEP_TOKENS ||
-           (now < server->loading_ms &&
+    double change =
+        server->own_prefill_tokens - server->announced_prefill_tokens;
+    uint32_t filled =
+        server->unshared_tokens - server->announced_unshared_tokens;
+    bool sent = server->sent_tokens - server->announced_sent_tokens >=
+                UNREAD_STEP_TOKENS;
+    bool emptied = server->own_prefill_tokens <= 0 &&
+                   server->announced_prefill_tokens > 0;
+    bool repeat = server->own_prefill_tokens > 0 &&
+                  now - server->announced_ms >= REPEAT_MS;
+    return change >= UNREAD_STEP_TOKENS || change <= -UNREAD_STEP_TOKENS ||
+           emptied || sent || repeat || filled >= FILLED_STEP_TOKENS ||
+           (now < server->loading_until_ms &&
             server->own_running != server->announced_running);
 }
 
-/* Loads that find no room leave with the next datagram. */
+/* Loads that exceed the datagram are sent with the next one. */
 bool
 peer_loads_collect(servers_t *servers, peer_datagram_t *out, int64_t now_ms)
 {
@@ -39,42 +44,42 @@
         if (out->load_count == PEER_LOADS_MAX) {
             break;
         }
-        if (server->gone || !server->info.engine ||
-            !has_news(server, now_ms)) {
+        if (server->removed || !server->info.engine ||
+            !needs_announcement(server, now_ms)) {
             continue;
         }
-        server->announced_unread = server->own_unread;
+        server->announced_prefill_tokens = server->own_prefill_tokens;
         server->announced_running = server->own_running;
-        server->announced_filled = server->filled;
+        server->announced_unshared_tokens = server->unshared_tokens;
         server->announced_ms = now_ms;
-        server->announced_sent = server->sent;
+        server->announced_sent_tokens = server->sent_tokens;
         out->loads[out->load_count++] =
             (peer_load_t){.server = server->key,
-                          .unread = (uint32_t)server->own_unread,
+                          .unread = (uint32_t)server->own_prefill_tokens,
                           .running = (uint32_t)server->own_running,
-                          .filled = server->filled,
-                          .sent = server->sent};
+                          .filled = server->unshared_tokens,
+                          .sent = server->sent_tokens};
     }
     return out->load_count > 0;
 }
 
-/* Applies the loads of another daemon, named by its address. */
+/* Applies the loads of another daemon, identified by its address. */
 void
 peer_loads_apply(servers_t *servers, uint64_t host,
                  const peer_datagram_t *datagram, int64_t now_ms)
 {
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
-        server_t *server = servers_keyed(servers, load->server);
+        server_t *server = servers_find_by_key(servers, load->server);
         if (server == NULL) {
             continue;
         }
-        const other_load_t report = {.host = host,
-                                     .received_ms = now_ms,
-                                     .unread = load->unread,
-                                     .running = (int)load->running,
-                                     .filled = load->filled,
-                                     .sent = load->sent};
-        server_peer_load(server, &report);
+        const server_peer_load_t report = {.host = host,
+                                           .received_ms = now_ms,
+                                           .prefill_tokens = load->unread,
+                                           .running = (int)load->running,
+                                           .unshared_tokens = load->filled,
+                                           .sent_tokens = load->sent};
+        server_apply_peer_load(server, &report);
     }
 }
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -1,19 +1,19 @@
 #include "peer-loads.h"
 #include "peers-apply.h"
-#include "peers-table.h"
+#include "peers-internal.h"
 
 #include <arpa/inet.h>
 #include <string.h>
 
-/* The datagrams between daemons: how they leave and what is done with those
- * that come. */
+/* Sends, receives and dispatches the datagrams between daemons. */
 
-/* Parts of one server that are sent to a daemon that starts, at most. */
+/* At most this many parts per server or kv store are sent to a daemon that
+ * starts. */
 #define SNAPSHOT_PARTS_MAX 256
 
-/* An address in text, as IPV4:PORT; 0 if it is one. */
+/* Parses an address as IPV4:PORT; 0 if it is valid. */
 int
-peers_addr_of(const char *text, struct sockaddr_in *out)
+peers_parse_addr(const char *text, struct sockaddr_in *out)
 {
     int len = (int)sizeof(*out);
     return evutil_parse_sockaddr_port(text, (struct sockaddr *)out, &len);
@@ -36,21 +36,21 @@
     unsigned char data[PEER_DATAGRAM_MAX];
     size_t len = peer_encode(datagram, peers->secret, data);
     struct sockaddr_in to;
-    if (len > 0 && peers_addr_of(addr, &to) == 0) {
+    if (len > 0 && peers_parse_addr(addr, &to) == 0) {
         peers_send_bytes(peers, &to, data, len);
     }
 }
 
-/* A daemon as one number. */
+/* The number that identifies a daemon: its address and port. */
 uint64_t
-peers_host_of(const struct sockaddr_in *addr)
+peers_host_id(const struct sockaddr_in *addr)
 {
     return (uint64_t)addr->sin_addr.s_addr << 16 | addr->sin_port;
 }
 
-/* The address of a daemon that is named by a number. */
+/* The address of the daemon that a number identifies. */
 struct sockaddr_in
-peers_addr_of_host(uint64_t host)
+peers_addr_from_host_id(uint64_t host)
 {
     return (struct sockaddr_in){.sin_family = AF_INET,
                                 .sin_port = (in_port_t)host,
@@ -61,17 +61,17 @@
 void
 peers_send_members(peers_t *peers)
 {
-    peer_datagram_t *datagram = &peers->taken;
-    for (size_t i = 0; i < peers->out.count; i++) {
+    peer_datagram_t *datagram = &peers->scratch;
+    for (size_t i = 0; i < peers->member_messages.count; i++) {
         datagram->kind = PEER_MEMBERS;
-        datagram->members = peers->out.messages[i];
-        peers_send(peers, peers->out.addrs[i], datagram);
+        datagram->members = peers->member_messages.messages[i];
+        peers_send(peers, peers->member_messages.addrs[i], datagram);
     }
 }
 
-/* That a holder has a part. */
+/* Builds the fact that a holder, a server or a kv store, has a part. */
 peer_fact_t
-peers_held_fact(const char *holder, const cached_part_t *part)
+peers_make_held_fact(const char *holder, const cached_part_t *part)
 {
     peer_fact_t fact = {.key = part->key,
                         .tokens = part->prompt_tokens,
@@ -82,19 +82,19 @@
 }
 
 /* Sends one daemon the parts that a server or a kv store is believed to hold,
- * the most recently used one last; returns their number. */
+ * the most recently used one last; returns their count. */
 static size_t
 send_parts(peers_t *peers, const char *addr, const char *holder,
            const cached_parts_t *held)
 {
     cached_part_t parts[SNAPSHOT_PARTS_MAX];
     size_t count = cached_parts_list(held, parts, SNAPSHOT_PARTS_MAX);
-    peer_datagram_t *datagram = &peers->taken;
+    peer_datagram_t *datagram = &peers->scratch;
     memset(datagram, 0, sizeof(*datagram));
     datagram->kind = PEER_FACTS;
     for (size_t i = count; i > 0; i--) {
         peer_fact_t *fact = &datagram->facts[datagram->fact_count++];
-        *fact = peers_held_fact(holder, &parts[i - 1]);
+        *fact = peers_make_held_fact(holder, &parts[i - 1]);
         if (datagram->fact_count == PEER_FACTS_MAX || i == 1) {
             peers_send(peers, addr, datagram);
             datagram->fact_count = 0;
@@ -103,10 +103,10 @@
     return count;
 }
 
-/* A daemon that has just started asks, by an empty list, for all that is
- * known: without it, it would have servers read again what they hold. */
+/* Sends the known parts to a daemon that has just started and requests them.
+ * Without them it would have servers prefill again what others hold. */
 static void
-send_all(peers_t *peers, const struct sockaddr_in *to)
+send_snapshot(peers_t *peers, const struct sockaddr_in *to)
 {
     relay_t *relay = peers->relay;
     char addr[CS_ADDR_MAX];
@@ -116,27 +116,27 @@
     size_t count = 0;
     server_t *server;
     for (size_t i = 0; i < KV_STORES_MAX; i++) {
-        const kv_store_t *store = &relay->stores.all[i];
+        const kv_store_t *store = &relay->kv_stores.all[i];
         if (store->held != NULL) {
             count += send_parts(peers, addr, store->name, store->held);
         }
     }
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
-        if (!server->gone && server->info.engine) {
+        if (!server->removed && server->info.engine) {
             count += send_parts(peers, addr, server->info.id, server->held);
         }
     }
     log_record(LOG_INFO, "peers", "told", "to=%s facts=%zu", addr, count);
 }
 
-/* An empty list of facts asks for all that is known. */
+/* Applies facts; an empty list requests the known parts. */
 static void
 apply_facts(peers_t *peers, const struct sockaddr_in *from)
 {
-    const peer_datagram_t *datagram = &peers->taken;
-    uint64_t host = peers_host_of(from);
+    const peer_datagram_t *datagram = &peers->scratch;
+    uint64_t host = peers_host_id(from);
     if (datagram->fact_count == 0) {
-        send_all(peers, from);
+        send_snapshot(peers, from);
         return;
     }
     for (size_t i = 0; i < datagram->fact_count; i++) {
@@ -148,13 +148,13 @@
 apply_datagram(peers_t *peers, const struct sockaddr_in *from)
 {
     relay_t *relay = peers->relay;
-    const peer_datagram_t *datagram = &peers->taken;
-    uint64_t host = peers_host_of(from);
+    const peer_datagram_t *datagram = &peers->scratch;
+    uint64_t host = peers_host_id(from);
     int64_t now = time_mono_ms();
     switch (datagram->kind) {
         case PEER_MEMBERS:
             members_receive(peers->members, &datagram->members, now,
-                            &peers->out);
+                            &peers->member_messages);
             peers_send_members(peers);
             return;
         case PEER_FACTS:
@@ -169,7 +169,7 @@
     }
 }
 
-/* Reads the datagrams that have arrived. */
+/* Reads and applies all datagrams that have arrived. */
 void
 peers_on_readable(evutil_socket_t fd, short what, void *arg)
 {
@@ -181,9 +181,9 @@
     (void)what;
     while ((len = recvfrom(fd, data, sizeof(data), MSG_DONTWAIT,
                            (struct sockaddr *)&from, &from_len)) > 0) {
-        if (peer_decode(&peers->taken, peers->secret, data, (size_t)len) !=
+        if (peer_decode(&peers->scratch, peers->secret, data, (size_t)len) !=
             0) {
-            log_warn("peers", "A datagram cannot be read.");
+            log_warn("peers", "Dropped a datagram that cannot be decoded.");
             continue;
         }
         apply_datagram(peers, &from);
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -1,13 +1,13 @@
 #include "peer-loads.h"
-#include "peers-table.h"
+#include "peers-internal.h"
 
 #include <string.h>
 
 /* Notifications to other daemons: parts that caches hold, requests at servers,
- * units spent of workspaces' limits. */
+ * usage of workspaces' limits. */
 
-/* Others that it asks, against lost datagrams. */
-#define ASK_PEERS 2
+/* Facts are requested from this many peers, since a datagram may be lost. */
+#define FACT_REQUESTS_MAX 2
 
 /* Sends a datagram to as many daemons as are notified directly. */
 static void
@@ -21,13 +21,13 @@
         struct sockaddr_in to;
         if (live[i].health != MEMBER_DEAD &&
             strcmp(live[i].name, peers->relay->settings.name) != 0 &&
-            peers_addr_of(live[i].peer, &to) == 0) {
+            peers_parse_addr(live[i].peer, &to) == 0) {
             peers_send_bytes(peers, &to, data, len);
         }
     }
 }
 
-/* Sends the facts that have gathered. */
+/* Sends the pending facts. */
 void
 peers_flush_facts(peers_t *peers)
 {
@@ -39,7 +39,7 @@
 }
 
 static peer_fact_t *
-fact_add(peers_t *peers)
+add_fact(peers_t *peers)
 {
     if (peers->pending.fact_count == PEER_FACTS_MAX) {
         peers_flush_facts(peers);
@@ -49,123 +49,126 @@
     return fact;
 }
 
-/* Notifies peers that a holder has a part or has it no longer. */
+/* Notifies peers that a holder has a part, or no longer has it. */
 void
 peers_notify_part(peers_t *peers, const char *holder,
                   const cached_part_t *part, bool held)
 {
-    peer_fact_t *fact = fact_add(peers);
-    *fact = peers_held_fact(holder, part);
+    peer_fact_t *fact = add_fact(peers);
+    *fact = peers_make_held_fact(holder, part);
     fact->held = held;
 }
 
 static peer_fact_t *
-load_add(peers_t *peers, const server_t *server)
+add_load_fact(peers_t *peers, const server_t *server)
 {
-    peer_fact_t *fact = fact_add(peers);
+    peer_fact_t *fact = add_fact(peers);
     fact->is_load = true;
     str_copy(fact->backend, sizeof(fact->backend), server->info.id);
     fact->load.running = server->own_running;
-    fact->load.waiting_tokens = (int)server->own_unread;
-    fact->load.filled = server->filled;
+    fact->load.waiting_tokens = (int)server->own_prefill_tokens;
+    fact->load.filled = server->unshared_tokens;
     fact->load.at_server = -1;
     return fact;
 }
 
-/* Notifies peers of a crowded server's reported load: each host gets too few
- * of its answers to know that others have taken its slots. */
+/* Notifies peers of the load that a busy server reported: each host gets too
+ * few of the server's answers to know that other hosts use its slots. */
 void
-peers_notify_crowded(peers_t *peers, const server_t *server)
+peers_notify_reported_load(peers_t *peers, const server_t *server)
 {
-    load_add(peers, server)->load.at_server =
-        server->load_running + server->load_waiting;
+    add_load_fact(peers, server)->load.at_server =
+        server->reported_running + server->reported_waiting;
 }
 
 /* ---- limits of workspaces ---- */
 
-/* A daemon at an address may spend of the workspaces' limits. */
+/* Notes that the daemon at an address may spend of the workspaces' limits. */
 void
-peers_note_spender(void *arg, const char *addr)
+peers_note_quota_host(void *arg, const char *addr)
 {
     peers_t *peers = arg;
     struct sockaddr_in at;
-    if (peers_addr_of(addr, &at) == 0 &&
+    if (peers_parse_addr(addr, &at) == 0 &&
         strcmp(addr, peers->relay->settings.peer) != 0) {
-        quotas_host_known(&peers->relay->quotas, peers_host_of(&at),
-                          time_mono_ms());
+        quotas_confirm_host(&peers->relay->quotas, peers_host_id(&at),
+                            time_mono_ms());
     }
 }
 
-/* All live members may spend of the workspaces' limits. */
+/* Notes that all members that are not dead may spend of the workspaces'
+ * limits. */
 void
-peers_note_members(peers_t *peers)
+peers_note_quota_hosts(peers_t *peers)
 {
     member_t members[QUOTA_HOSTS_MAX];
     size_t count = members_list(peers->members, members, QUOTA_HOSTS_MAX);
     for (size_t i = 0; i < count; i++) {
         if (members[i].health != MEMBER_DEAD) {
-            peers_note_spender(peers, members[i].peer);
+            peers_note_quota_host(peers, members[i].peer);
         }
     }
 }
 
-/* Announces what this host has spent to all that may spend. */
+/* Announces this host's usage of the workspaces' limits to all hosts that may
+ * spend of them. */
 void
 peers_announce_quotas(peers_t *peers, int64_t now)
 {
     quotas_t *quotas = &peers->relay->quotas;
     unsigned char data[PEER_DATAGRAM_MAX];
     quotas_tick(quotas, now);
-    if (!quotas_announce(quotas, &peers->taken, now)) {
+    if (!quotas_announce(quotas, &peers->scratch, now)) {
         return;
     }
-    size_t len = peer_encode(&peers->taken, peers->secret, data);
+    size_t len = peer_encode(&peers->scratch, peers->secret, data);
     for (size_t i = 0; i < QUOTA_HOSTS_MAX && len > 0; i++) {
         if (quotas->hosts[i].host != 0) {
-            struct sockaddr_in to = peers_addr_of_host(quotas->hosts[i].host);
+            struct sockaddr_in to =
+                peers_addr_from_host_id(quotas->hosts[i].host);
             peers_send_bytes(peers, &to, data, len);
         }
     }
 }
 
-/* ---- what others know ---- */
+/* ---- facts and loads ---- */
 
-/* Requests the known facts from a few others, once they are found. */
+/* Requests the known facts from a few live peers, if there are any. */
 void
-peers_ask_all(peers_t *peers)
+peers_request_facts(peers_t *peers)
 {
     member_t live[PEERS_DIRECT_MAX + 1];
-    size_t asked = 0;
+    size_t requested = 0;
     size_t count = members_list(peers->members, live, PEERS_DIRECT_MAX + 1);
-    memset(&peers->taken, 0, sizeof(peers->taken));
-    peers->taken.kind = PEER_FACTS;
-    for (size_t i = 0; i < count && asked < ASK_PEERS; i++) {
+    memset(&peers->scratch, 0, sizeof(peers->scratch));
+    peers->scratch.kind = PEER_FACTS;
+    for (size_t i = 0; i < count && requested < FACT_REQUESTS_MAX; i++) {
         if (live[i].health == MEMBER_ALIVE &&
             strcmp(live[i].name, peers->relay->settings.name) != 0) {
-            peers_send(peers, live[i].peer, &peers->taken);
-            asked++;
+            peers_send(peers, live[i].peer, &peers->scratch);
+            requested++;
         }
     }
-    peers->asked = asked > 0;
+    peers->facts_requested = requested > 0;
 }
 
 /* Announces this host's requests at servers: a server's load header does not
- * count the prompt tokens that are still to be read. */
+ * count the prompt tokens that are still to be prefilled. */
 void
 peers_notify_loads(peers_t *peers, int64_t now)
 {
-    if (peer_loads_collect(peers->relay->servers, &peers->taken, now)) {
-        send_direct(peers, &peers->taken);
+    if (peer_loads_collect(peers->relay->servers, &peers->scratch, now)) {
+        send_direct(peers, &peers->scratch);
     }
 }
 
-/* Notifies peers of a server's weights and of those that it loads (0 for
- * none), sooner than the platform's list, so that no request is sent there in
- * vain. */
+/* Notifies peers of a server's weights and of those that it is loading (0 for
+ * none).  Peers learn it sooner than from the platform's list, so that they
+ * send no request to it in vain. */
 void
 peers_notify_weights(peers_t *peers, const server_t *server, int64_t loading)
 {
-    peer_fact_t *fact = load_add(peers, server);
+    peer_fact_t *fact = add_load_fact(peers, server);
     (void)snprintf(fact->load.version, sizeof(fact->load.version), "%lld",
                    (long long)server->info.weights);
     if (loading > 0) {
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -1,15 +1,16 @@
 #include "request.h"
 
-/* What a request counts of its workspace's limit: charged when it comes, given
- * back if it surely has not run, charged again if it runs once more. */
+/* Charges requests to their workspace's limit: once on arrival, again for each
+ * further attempt after one that may have run.  The charge is refunded if the
+ * request certainly has not run. */
 
-/* What the request counts of its workspace's limit. */
+/* Returns the cost of the request in the unit of its workspace's limit. */
 static double
-quota_cost(const request_t *request)
+request_cost(const request_t *request)
 {
     const workspace_entry_t *workspace = request->workspace;
     const header_t *tokens =
-        http_head_find(request->head, wire_header_name(HEADER_TOKENS));
+        http_head_find(request->head, wire_header_name(HEADER_TOKEN_USAGE));
     prompt_t prompt = {0};
     switch (workspace->limit_unit) {
         case LIMIT_REQUESTS:
@@ -18,67 +19,67 @@
             break;
     }
     if (tokens == NULL) {
-        return workspace->plain_tokens;
+        return workspace->default_tokens;
     }
-    prompt_read_tokens(&prompt, http_head_at(request->head, tokens->value),
-                       tokens->value.len);
+    prompt_parse_tokens(&prompt, http_head_at(request->head, tokens->value),
+                        tokens->value.len);
     return (double)prompt.prompt_tokens + (double)prompt.output_tokens;
 }
 
 static quota_t *
-quota_of(const request_t *request)
+find_quota(const request_t *request)
 {
     return request->workspace == NULL ? NULL
                                       : quotas_find(&request->relay->quotas,
                                                     request->workspace->name);
 }
 
-/* Whether the request is within its workspace's limit, of which it then has a
- * part. */
-quota_verdict_t
-request_ask_quota(request_t *request)
+/* Charges the request to its workspace's limit if it fits. */
+quota_decision_t
+request_charge_quota(request_t *request)
 {
     quotas_t *quotas = &request->relay->quotas;
-    quota_t *quota = quota_of(request);
+    quota_t *quota = find_quota(request);
     if (quota == NULL) {
-        return (quota_verdict_t){.allowed = true};
+        return (quota_decision_t){.allowed = true};
     }
-    double cost = quota_cost(request);
+    double cost = request_cost(request);
     int64_t now = time_mono_ms();
-    quota_verdict_t verdict = quota_ask(quotas, quota, cost, now);
+    quota_decision_t verdict = quota_try_spend(quotas, quota, cost, now);
     if (verdict.allowed) {
-        request->charged = cost;
+        request->quota_charge = cost;
         return verdict;
     }
     log_record(LOG_WARN, "quota", "exceeded",
                "id=%s workspace=%s cost=%.0f left=%.0f unseen=%.0f rate=%.0f "
                "burst=%.0f hosts=%zu in_touch=%zu",
                request->id, quota->name, cost, quota->level,
-               quota_unseen(quotas, quota, now), quota->limit.rate,
-               quota->limit.burst, quotas->host_count + 1,
-               quotas->in_touch_count + 1);
+               quota_estimate_unreported(quotas, quota, now),
+               quota->limit.rate, quota->limit.burst, quotas->host_count + 1,
+               quotas->reachable_count + 1);
     return verdict;
 }
 
-/* A request that has run already runs once more. */
+/* Charges the request again for an attempt after one that may have run. */
 void
-request_charge_again(request_t *request)
+request_recharge_quota(request_t *request)
 {
-    quota_t *quota = quota_of(request);
-    if (quota != NULL && request->charged > 0) {
-        quota_spend(&request->relay->quotas, quota, request->charged,
+    quota_t *quota = find_quota(request);
+    if (quota != NULL && request->quota_charge > 0) {
+        quota_spend(&request->relay->quotas, quota, request->quota_charge,
                     time_mono_ms());
     }
 }
 
-/* A request that has surely not run gives back what it was charged. */
+/* Refunds the charge if the request certainly has not run. */
 void
-request_return_charge(request_t *request)
+request_refund_quota(request_t *request)
 {
-    quota_t *quota = quota_of(request);
-    bool ran = request->sends > 0 && request->outcome != METER_REFUSED;
-    if (quota != NULL && request->charged > 0 && !ran) {
-        quota_return(&request->relay->quotas, quota, request->charged,
+    quota_t *quota = find_quota(request);
+    bool may_have_run =
+        request->sends > 0 && request->outcome != METER_REFUSED;
+    if (quota != NULL && request->quota_charge > 0 && !may_have_run) {
+        quota_refund(&request->relay->quotas, quota, request->quota_charge,
                      time_mono_ms());
     }
 }
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -5,34 +5,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One send of a request to a server, and what comes back. */
+/* Sends a request to a server and handles the answer. */
 
-/* A connection that is not there after this is given up, ms: hosts of one
- * region are within a few ms, and a full queue of connections answers
- * nothing. */
-#define CONNECT_MS 250
-/* Answer that is kept until it is whole, bytes at most. */
-#define ANSWER_MAX (8u << 20)
-/* A server that refuses is believed to be full for so long, ms: a few of its
- * steps. */
+/* Connect timeout, ms: hosts of one region are a few ms apart, and a server
+ * whose listen backlog is full does not answer at all. */
+#define CONNECT_TIMEOUT_MS 250
+/* Largest answer that is buffered until it is complete, bytes. */
+#define ANSWER_BYTES_MAX (8u << 20)
+/* A server that refuses a request is believed to be full for this long, ms: a
+ * few of its batch steps. */
 #define FULL_PAUSE_MS 150
-/* A server's speed is taken from prompts that are long enough to show it and
- * had next to nothing ahead of them, ms; the first token itself takes so long
- * behind the prompt. */
-#define SPEED_WAIT_MS 30.0
-#define SPEED_READ_MS 60.0
-#define FIRST_MS 15.0
+/* A server's prefill speed is measured with prompts that take long enough to
+ * prefill and have almost nothing queued ahead of them.  The first token takes
+ * FIRST_TOKEN_MS after the prefill. */
+#define SPEED_WAIT_MS_MAX 30.0
+#define SPEED_PREFILL_MS_MIN 60.0
+#define FIRST_TOKEN_MS 15.0
 
 static void
-head_add(buf_t *out, wire_header_t header, const char *value)
+add_header(buf_t *out, wire_header_t header, const char *value)
 {
     buf_fmt(out, "%s: %s\r\n", wire_header_name(header), value);
 }
 
-/* Whether a header is named in the caller's Connection header, and so
- * concerns that connection alone. */
+/* Whether a header is listed in the caller's Connection header, which makes it
+ * hop-by-hop. */
 static bool
-is_named(const http_head_t *head, const header_t *header)
+is_hop_by_hop(const http_head_t *head, const header_t *header)
 {
     for (unsigned i = 0; i < head->count; i++) {
         if (!http_head_is(head, head->headers[i].name, "Connection")) {
@@ -51,16 +50,16 @@
     return false;
 }
 
-/* Whether a caller's header is passed on as it is. */
+/* Whether a caller's header is forwarded unchanged. */
 static bool
-is_passed_on(wire_header_t meaning, bool has_last)
+is_forwarded(wire_header_t kind, bool resumes)
 {
-    switch (meaning) {
+    switch (kind) {
         case HEADER_CONNECTION:
-        case HEADER_LENGTH:
+        case HEADER_CONTENT_LENGTH:
         case HEADER_EXPECT:
         case HEADER_DEADLINE:
-        case HEADER_KEY:
+        case HEADER_ACCESS_KEY:
         case HEADER_WORKSPACE:
         case HEADER_PRIORITY:
         case HEADER_EXPECT_SERVER:
@@ -71,27 +70,27 @@
         case HEADER_CACHE_PIN:
         case HEADER_CACHE_HOLD:
         case HEADER_CACHE_BACKUP:
-        case HEADER_MEMORY_FROM:
+        case HEADER_KV_FROM:
             return false;
         case HEADER_LAST_EVENT:
-            return !has_last;
+            return !resumes;
         default:
             return true;
     }
 }
 
 static void
-add_callers_headers(const request_t *request, buf_t *out)
+add_caller_headers(const request_t *request, buf_t *out)
 {
     const http_head_t *head = request->head;
-    bool has_last = request->stream.last[0] != '\0';
-    bool named = http_head_find(head, "Connection") != NULL;
+    bool resumes = request->stream.last_id[0] != '\0';
+    bool has_connection = http_head_find(head, "Connection") != NULL;
     for (unsigned i = 0; i < head->count; i++) {
         const header_t *header = &head->headers[i];
-        wire_header_t meaning =
-            wire_header(http_head_at(head, header->name), header->name.len);
-        if (!is_passed_on(meaning, has_last) ||
-            (named && is_named(head, header))) {
+        wire_header_t kind = wire_header_find(http_head_at(head, header->name),
+                                              header->name.len);
+        if (!is_forwarded(kind, resumes) ||
+            (has_connection && is_hop_by_hop(head, header))) {
             continue;
         }
         buf_add(out, http_head_at(head, header->name), header->name.len);
@@ -99,57 +98,61 @@
         buf_add(out, http_head_at(head, header->value), header->value.len);
         buf_str(out, "\r\n");
     }
-    if (has_last) {
-        head_add(out, HEADER_LAST_EVENT, request->stream.last);
+    if (resumes) {
+        add_header(out, HEADER_LAST_EVENT, request->stream.last_id);
     }
 }
 
-/* Where the server can fetch parts that it lacks, and whether it is to keep
- * what it reads in the kv store. */
+/* Tells an engine where to fetch parts that it has not cached, and whether to
+ * save the shared parts to the kv store. */
 static void
 add_cache_headers(request_t *request, const server_t *server, buf_t *out)
 {
     relay_t *relay = request->relay;
     uint16_t number;
     const relay_service_t *store =
-        cache_store_for(relay, &request->prefix, &number);
+        cache_find_store(relay, &request->prefix, &number);
     cache_view_t view;
-    cache_look(relay, &request->prefix, server, &view);
-    request->cached = view.found ? view.source.tokens : view.here;
-    request->saves = false;
-    const char *from = cache_fetch_from(&view, store);
+    cache_lookup(relay, &request->prefix, server, &view);
+    request->cached_tokens =
+        view.found ? view.source.tokens : view.held_tokens;
+    request->saves_to_kv_store = false;
+    const char *from = cache_fetch_address(&view, store);
     if (from != NULL) {
-        head_add(out, HEADER_CACHE_FETCH, from);
+        add_header(out, HEADER_CACHE_FETCH, from);
     }
-    if (store != NULL && !cache_kept(relay, &request->prefix, number) &&
-        cache_save(relay, &request->prefix, server, number)) {
-        head_add(out, HEADER_CACHE_SAVE, store->addr);
-        request->saves = true;
+    if (store != NULL &&
+        !cache_store_has_shared(relay, &request->prefix, number) &&
+        cache_should_save(relay, &request->prefix, server, number)) {
+        add_header(out, HEADER_CACHE_SAVE, store->addr);
+        request->saves_to_kv_store = true;
     }
 }
 
-/* The name under which servers on these weights keep parts of the prompt. */
+/* Writes the cache salt of the request's prompt for a weights version.
+ * Requests of an isolated workspace get a salt of their own. */
 void
-request_salt(const request_t *request, int64_t weights,
-             char out[CS_ID_LEN + 1])
+request_cache_salt(const request_t *request, int64_t weights,
+                   char out[CS_ID_LEN + 1])
 {
     bool isolated = request->workspace != NULL && request->workspace->isolated;
-    prompt_salt(request->prompt.model, weights,
-                isolated ? request->workspace->name : "", out);
+    prompt_format_salt(request->prompt.model, weights,
+                       isolated ? request->workspace->name : "", out);
 }
 
-/* What only engines get: the name of the cache, the weights that it belongs
- * to, how urgent the request is among those that wait there. */
+/* Adds the headers for engines alone: cache salt, expected weights version,
+ * cache sources and priority in the engine's queue. */
 static void
 add_engine_headers(request_t *request, const server_t *server, buf_t *out)
 {
     char text[32];
     char salt[CS_ID_LEN + 1];
-    request_salt(request, request->weights, salt);
-    prompt_levels(&request->prompt, salt, &request->prefix);
-    head_add(out, HEADER_CACHE_SALT, salt);
-    (void)snprintf(text, sizeof(text), "%lld", (long long)request->weights);
-    head_add(out, HEADER_EXPECT_VERSION, text);
+    request_cache_salt(request, request->weights_version, salt);
+    prompt_to_levels(&request->prompt, salt, &request->prefix);
+    add_header(out, HEADER_CACHE_SALT, salt);
+    (void)snprintf(text, sizeof(text), "%lld",
+                   (long long)request->weights_version);
+    add_header(out, HEADER_EXPECT_VERSION, text);
     add_cache_headers(request, server, out);
     int priority = request->route->priority;
     if (request->workspace != NULL && request->workspace->has_priority) {
@@ -157,7 +160,7 @@
     }
     priority = priority < 0 ? 0 : priority > 9 ? 9 : priority;
     (void)snprintf(text, sizeof(text), "%d", priority);
-    head_add(out, HEADER_PRIORITY, text);
+    add_header(out, HEADER_PRIORITY, text);
 }
 
 static void
@@ -168,19 +171,19 @@
     buf_fmt(out, "%s ", http_head_method(head));
     buf_add(out, http_head_at(head, head->target), head->target.len);
     buf_str(out, " HTTP/1.1\r\n");
-    add_callers_headers(request, out);
+    add_caller_headers(request, out);
     (void)snprintf(text, sizeof(text), "%lld",
-                   (long long)(request->until_ms - request->sent_ms));
-    head_add(out, HEADER_DEADLINE, text);
-    head_add(out, HEADER_EXPECT_SERVER, server->info.id);
+                   (long long)(request->deadline_ms - request->sent_ms));
+    add_header(out, HEADER_DEADLINE, text);
+    add_header(out, HEADER_EXPECT_SERVER, server->info.id);
     if (request->workspace != NULL) {
-        head_add(out, HEADER_WORKSPACE, request->workspace->name);
+        add_header(out, HEADER_WORKSPACE, request->workspace->name);
     }
     if (request->engine) {
         add_engine_headers(request, server, out);
     }
     if (request->body->len > 0 || head->method != HTTP_GET) {
-        buf_fmt(out, "%s: %zu\r\n", wire_header_name(HEADER_LENGTH),
+        buf_fmt(out, "%s: %zu\r\n", wire_header_name(HEADER_CONTENT_LENGTH),
                 request->body->len);
     }
     buf_str(out, "\r\n");
@@ -189,7 +192,7 @@
 /* ---- the answer ---- */
 
 static bool
-is_other_answer(const request_t *request, const http_head_t *head)
+has_other_request_id(const request_t *request, const http_head_t *head)
 {
     const header_t *id =
         http_head_find(head, wire_header_name(HEADER_REQUEST_ID));
@@ -199,7 +202,7 @@
 }
 
 static void
-note_load(const relay_t *relay, server_t *server, const http_head_t *head)
+record_load(const relay_t *relay, server_t *server, const http_head_t *head)
 {
     const header_t *load = http_head_find(head, wire_header_name(HEADER_LOAD));
     char text[64];
@@ -211,23 +214,23 @@
     http_head_copy(head, load->value, text, sizeof(text));
     if (sscanf(text, "%d,%d,%*d", &running, &waiting) == 2) {
         int64_t now = time_mono_ms();
-        server_load(server, running, waiting, now);
-        if (server->info.engine && server_crowded_news(server, now)) {
-            peers_notify_crowded(relay->peers, server);
+        server_set_load(server, running, waiting, now);
+        if (server->info.engine && server_should_announce_load(server, now)) {
+            peers_notify_reported_load(relay->peers, server);
         }
     }
 }
 
 static void
-keep_headers(request_t *request, const http_head_t *head)
+copy_answer_headers(request_t *request, const http_head_t *head)
 {
     request->headers.len = 0;
     for (unsigned i = 0; i < head->count; i++) {
         const header_t *header = &head->headers[i];
-        switch (
-            wire_header(http_head_at(head, header->name), header->name.len)) {
+        switch (wire_header_find(http_head_at(head, header->name),
+                                 header->name.len)) {
             case HEADER_CONNECTION:
-            case HEADER_LENGTH:
+            case HEADER_CONTENT_LENGTH:
             case HEADER_LOAD:
                 continue;
             default:
@@ -242,29 +245,30 @@
     }
 }
 
-/* What an answer is, by its head.  One without the server's signature or the
- * request's id, or with an encoding nobody asked for, is not the server's own
- * and is never passed on. */
-static answer_t
+/* Classifies an answer by its head.  An answer without the server's signature
+ * or the request's id, or with an unrequested content encoding, does not come
+ * from the server itself and is never passed on. */
+static answer_class_t
 classify(const request_t *request, const http_head_t *head)
 {
     bool has_id =
         http_head_find(head, wire_header_name(HEADER_REQUEST_ID)) != NULL;
     bool is_signed =
         http_head_find(head, wire_header_name(HEADER_SIGNATURE)) != NULL;
-    bool not_run =
-        http_head_find(head, wire_header_name(HEADER_NOT_RUN)) != NULL;
-    if (not_run || head->status == 421) {
+    bool not_executed =
+        http_head_find(head, wire_header_name(HEADER_NOT_EXECUTED)) != NULL;
+    if (not_executed || head->status == 421) {
         return ANSWER_REFUSED;
     }
     if (!has_id || !is_signed ||
-        http_head_find(head, wire_header_name(HEADER_ENCODING)) != NULL) {
-        return ANSWER_BAD;
+        http_head_find(head, wire_header_name(HEADER_CONTENT_ENCODING)) !=
+            NULL) {
+        return ANSWER_INVALID;
     }
     if (head->status == 429 || head->status == 503 || head->status == 408) {
-        /* Such a status would promise the caller that nothing ran, and the
-         * server does not say so. */
-        return ANSWER_BAD;
+        /* The caller would take such a status to mean that the request has
+         * not run, but the server has not stated that. */
+        return ANSWER_INVALID;
     }
     if (head->status >= 500) {
         return ANSWER_FAILED;
@@ -272,27 +276,29 @@
     if (request->route->kind == ROUTE_STREAM && head->status == 200) {
         return ANSWER_STREAM;
     }
-    return request->phase == REQUEST_STREAMING ? ANSWER_BAD : ANSWER_BUFFER;
+    return request->phase == REQUEST_STREAMING ? ANSWER_INVALID
+                                               : ANSWER_BUFFER;
 }
 
 static void
-note_refusal(request_t *request, const http_head_t *head)
+record_refusal(request_t *request, const http_head_t *head)
 {
     server_t *server = request->server;
     int64_t now = time_mono_ms();
     if (head->status != 421) {
-        server->full_ms = now + FULL_PAUSE_MS;
+        server->full_until_ms = now + FULL_PAUSE_MS;
         return;
     }
     const header_t *id =
         http_head_find(head, wire_header_name(HEADER_SERVER_ID));
     if (id != NULL && !http_head_is(head, id->value, server->info.id)) {
-        /* Another server has the address; its own entry tells where. */
-        server->misplaced = true;
+        /* Another server uses this address now and has an entry of its own.
+         */
+        server->address_taken = true;
         exchanges_drop(request->relay->exchanges, server->info.addr);
         return;
     }
-    server->full_ms = now + FULL_PAUSE_MS;
+    server->full_until_ms = now + FULL_PAUSE_MS;
     probe_server(request->relay, server);
 }
 
@@ -300,100 +306,103 @@
 on_head(void *arg, const http_head_t *head)
 {
     request_t *request = arg;
-    if (is_other_answer(request, head)) {
+    if (has_other_request_id(request, head)) {
         log_record(LOG_WARN, "request", "stray-answer", "id=%s server=%s",
                    request->id, request->server->info.id);
         return HEAD_SKIP;
     }
     server_note_answer(request->server, time_mono_ms());
-    note_load(request->relay, request->server, head);
+    record_load(request->relay, request->server, head);
     request->answer = classify(request, head);
     request->status = head->status;
     switch (request->answer) {
         case ANSWER_REFUSED:
-            note_refusal(request, head);
+            record_refusal(request, head);
             break;
         case ANSWER_BUFFER:
         case ANSWER_FAILED:
         case ANSWER_STREAM:
             if (request->phase != REQUEST_STREAMING) {
-                keep_headers(request, head);
+                copy_answer_headers(request, head);
             }
             break;
         case ANSWER_NONE:
-        case ANSWER_BAD:
+        case ANSWER_INVALID:
             break;
     }
     return HEAD_TAKE;
 }
 
-/* The server had the kv store take what the prompt shares. */
+/* The server has saved the shared parts of the prompt to the kv store. */
 static void
-note_saved(request_t *request)
+record_saved_parts(request_t *request)
 {
     uint16_t number;
-    if (cache_store_for(request->relay, &request->prefix, &number) != NULL) {
-        cache_note(request->relay, &request->prefix, number);
+    if (cache_find_store(request->relay, &request->prefix, &number) != NULL) {
+        cache_note_held(request->relay, &request->prefix, number);
     }
 }
 
-/* Learns from how late the first answer is. */
+/* Updates the forecast with the observed time to the first answer. */
 static void
-note_forecast(request_t *request, int64_t now)
+record_forecast(request_t *request, int64_t now)
 {
     if (request->engine) {
-        forecast_note(&request->relay->forecast,
-                      request->wait_ms + request->read_ms,
-                      (double)(now - request->sent_ms));
+        forecast_update(
+            &request->relay->forecast,
+            request->expected_wait_ms + request->expected_prefill_ms,
+            (double)(now - request->sent_ms));
     }
 }
 
-/* The first event or the whole answer is there: the prompt is read, and the
- * server holds its parts. */
+/* The first event or the whole answer was received: the prompt is prefilled
+ * and the server has cached its parts. */
 void
-request_first_answer(request_t *request)
+request_record_first_answer(request_t *request)
 {
     server_t *server = request->server;
     int64_t now = time_mono_ms();
-    if (request->first_ms == 0) {
-        request->first_ms = now;
-    }
-    /* What read_ms holds was worked out with the slowness known then. */
-    if (request->engine && request->wait_ms < SPEED_WAIT_MS &&
-        request->read_ms > SPEED_READ_MS) {
-        server_speed(server, request->read_ms / request->slowness,
-                     (double)(now - request->sent_ms) - FIRST_MS);
-    }
-    request->began_ms = now;
-    note_forecast(request, now);
-    server_read(server, request->unread);
-    request->unread = 0;
+    if (request->first_answer_ms == 0) {
+        request->first_answer_ms = now;
+    }
+    /* expected_prefill_ms includes the slowness known when it was sent. */
+    if (request->engine && request->expected_wait_ms < SPEED_WAIT_MS_MAX &&
+        request->expected_prefill_ms > SPEED_PREFILL_MS_MIN) {
+        server_update_slowness(
+            server, request->expected_prefill_ms / request->server_slowness,
+            (double)(now - request->sent_ms) - FIRST_TOKEN_MS);
+    }
+    request->answer_started_ms = now;
+    record_forecast(request, now);
+    server_subtract_prefill(server, request->prefill_tokens);
+    request->prefill_tokens = 0;
     if (request->engine) {
-        cache_note(request->relay, &request->prefix, server->number);
-        server_filled(
-            server, request->prefix.tokens - prompt_shared(&request->prompt));
+        cache_note_held(request->relay, &request->prefix, server->number);
+        server_add_unshared(
+            server,
+            request->prefix.tokens - prompt_shared_tokens(&request->prompt));
     }
-    if (request->saves) {
-        note_saved(request);
+    if (request->saves_to_kv_store) {
+        record_saved_parts(request);
     }
 }
 
 static void
-pass_events(request_t *request, const char *data, size_t len)
+forward_events(request_t *request, const char *data, size_t len)
 {
     CLEAN_BUF buf_t events = {0};
-    size_t count = stream_take(&request->stream, data, len, &events);
+    size_t count = stream_feed(&request->stream, data, len, &events);
     if (request->stream.overflow) {
-        /* No server of ours makes such an event: nothing more is kept of it,
-         * and the answer ends as one that cannot be passed on. */
+        /* No valid event is that long.  Drop it and treat the rest of the
+         * answer as invalid. */
         stream_restart(&request->stream);
-        request->answer = ANSWER_BAD;
+        request->answer = ANSWER_INVALID;
     }
     if (count == 0) {
         return;
     }
-    if (request->unread > 0 || request->first_ms == 0) {
-        request_first_answer(request);
+    if (request->prefill_tokens > 0 || request->first_answer_ms == 0) {
+        request_record_first_answer(request);
     }
     if (request->phase != REQUEST_STREAMING) {
         request->phase = REQUEST_STREAMING;
@@ -410,40 +419,42 @@
     server_note_answer(request->server, time_mono_ms());
     switch (request->answer) {
         case ANSWER_STREAM:
-            pass_events(request, data, len);
+            forward_events(request, data, len);
             return;
         case ANSWER_BUFFER:
         case ANSWER_FAILED:
-            if (request->answer_body.len + len > ANSWER_MAX) {
-                request->answer = ANSWER_BAD;
+            if (request->answer_body.len + len > ANSWER_BYTES_MAX) {
+                request->answer = ANSWER_INVALID;
                 return;
             }
             buf_add(&request->answer_body, data, len);
             return;
         case ANSWER_NONE:
         case ANSWER_REFUSED:
-        case ANSWER_BAD:
+        case ANSWER_INVALID:
             return;
     }
 }
 
-/* The send is over: the server's counts no longer hold it. */
+/* Ends the current attempt: removes the request from the server's counts. */
 void
-request_sent_over(request_t *request)
+request_release_server(request_t *request)
 {
     if (request->server == NULL) {
         return;
     }
-    server_read(request->server, request->unread);
-    request->unread = 0;
-    server_done(request->server);
+    server_subtract_prefill(request->server, request->prefill_tokens);
+    request->prefill_tokens = 0;
+    server_remove_request(request->server);
     request->server = NULL;
 }
 
-/* Give the caller the whole answer that was read.  The request is gone before
- * the answer is written, since the caller's next one may begin at once. */
+/* Answers the caller with the buffered answer.  The request is freed first,
+ * since the caller's next request may start as soon as this one is answered.
+ */
 void
-request_deliver(request_t *request, meter_outcome_t outcome, const char *word)
+request_deliver(request_t *request, meter_outcome_t outcome,
+                const char *outcome_name)
 {
     caller_t *caller = request->caller;
     buf_t headers = request->headers;
@@ -452,7 +463,7 @@
     memset(&request->headers, 0, sizeof(headers));
     memset(&request->answer_body, 0, sizeof(body));
     request->outcome = outcome;
-    request_end(request, word);
+    request_end(request, outcome_name);
     caller_answer(caller, status, &headers, buf_text(&body), body.len);
     buf_free(&headers);
     buf_free(&body);
@@ -470,41 +481,41 @@
     caller_stream_end(caller);
 }
 
-/* A whole answer was read. */
+/* A complete answer was read. */
 static void
-on_whole(request_t *request)
+on_complete_answer(request_t *request)
 {
     server_t *server = request->server;
     switch (request->answer) {
         case ANSWER_BUFFER:
-            server_good(server);
-            request_first_answer(request);
+            server_record_success(server);
+            request_record_first_answer(request);
             request_deliver(request, METER_ANSWERED, "answered");
             return;
         case ANSWER_STREAM:
-            if (request->stream.part.len > 0) {
-                break; /* it ends within an event */
+            if (request->stream.partial.len > 0) {
+                break; /* it ends in the middle of an event */
             }
-            server_good(server);
-            server_held_slot(server,
-                             (double)(time_mono_ms() - request->began_ms));
+            server_record_success(server);
+            server_observe_slot_time(
+                server, (double)(time_mono_ms() - request->answer_started_ms));
             finish_stream(request);
             return;
         case ANSWER_FAILED:
-            request->ran++;
-            server_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
-            request_failed(request, FATE_FAILED);
+            request->possible_runs++;
+            server_record_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
+            request_attempt_failed(request, SEND_FAILED);
             return;
         case ANSWER_REFUSED:
-            request_failed(request, FATE_REFUSED);
+            request_attempt_failed(request, SEND_REJECTED);
             return;
         case ANSWER_NONE:
-        case ANSWER_BAD:
+        case ANSWER_INVALID:
             break;
     }
-    request->ran++;
-    server_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_failed(request, FATE_UNKNOWN);
+    request->possible_runs++;
+    server_record_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
+    request_attempt_failed(request, SEND_UNKNOWN);
 }
 
 static void
@@ -514,12 +525,12 @@
     request->exchange = NULL;
     switch (end) {
         case EXCHANGE_WHOLE:
-            on_whole(request);
+            on_complete_answer(request);
             return;
         case EXCHANGE_UNSENT:
-            server_fault(request->server, SERVER_FAULT_CONNECT,
-                         time_mono_ms());
-            request_failed(request, FATE_UNSENT);
+            server_record_fault(request->server, SERVER_FAULT_CONNECT,
+                                time_mono_ms());
+            request_attempt_failed(request, SEND_UNSENT);
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
@@ -527,38 +538,38 @@
         case EXCHANGE_TIMEOUT:
             break;
     }
-    /* A refusal whose body is cut has still been given. */
+    /* A refusal counts even if its body was cut off. */
     if (request->answer == ANSWER_REFUSED) {
-        request_failed(request, FATE_REFUSED);
+        request_attempt_failed(request, SEND_REJECTED);
         return;
     }
-    request->ran++;
-    server_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_failed(request, FATE_UNKNOWN);
+    request->possible_runs++;
+    server_record_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
+    request_attempt_failed(request, SEND_UNKNOWN);
 }
 
 static const exchange_hooks_t hooks = {on_head, on_body, on_end, NULL};
 
 static void
-note_tried(request_t *request, const server_t *server)
+record_tried(request_t *request, const server_t *server)
 {
     if (request->tried_count < REQUEST_TRIED_MAX) {
         request->tried[request->tried_count++] = server->number;
     }
 }
 
-/* Send a request to a server. */
+/* Starts an attempt at a server. */
 void
 request_send(request_t *request, server_t *server)
 {
     relay_t *relay = request->relay;
     CLEAN_BUF buf_t head = {0};
-    exchange_hooks_t own = hooks;
-    own.arg = request;
+    exchange_hooks_t request_hooks = hooks;
+    request_hooks.arg = request;
     request->sent_ms = time_mono_ms();
     request->server = server;
-    request->slowness = server->slowness;
-    request->weights = server->info.weights;
+    request->server_slowness = server->slowness;
+    request->weights_version = server->info.weights;
     request->answer = ANSWER_NONE;
     request->headers.len =
         request->phase == REQUEST_STREAMING ? request->headers.len : 0;
@@ -568,20 +579,22 @@
         request->phase = REQUEST_SENT;
     }
     build_head(request, server, &head);
-    request->unread = request->prefix.tokens > request->cached
-                          ? request->prefix.tokens - request->cached
-                          : 0;
-    server_sent(server, request->unread, request->sent_ms);
-    if (request->cached < request->prefix.tokens) {
+    request->prefill_tokens =
+        request->prefix.tokens > request->cached_tokens
+            ? request->prefix.tokens - request->cached_tokens
+            : 0;
+    server_add_request(server, request->prefill_tokens, request->sent_ms);
+    if (request->cached_tokens < request->prefix.tokens) {
         cache_note_pending(relay, &request->prefix, server->number);
     }
-    note_tried(request, server);
-    if (request->ran > 0) {
-        request_charge_again(request);
+    record_tried(request, server);
+    if (request->possible_runs > 0) {
+        request_recharge_quota(request);
     }
     if (request->sends++ > 0) {
         relay->meter.retries++;
-        retry_share_spend(&relay->retries, request->service, request->sent_ms);
+        retry_share_spend(&relay->retry_shares, request->service,
+                          request->sent_ms);
     }
     relay->meter.sends++;
     exchange_ask_t ask = {.addr = server->info.addr,
@@ -590,9 +603,9 @@
                           .body = request->body->data,
                           .body_len = request->body->len,
                           .bodiless = request->head->method == HTTP_HEAD,
-                          .connect_ms = CONNECT_MS};
-    request->exchange = exchange_start(relay->exchanges, &ask, &own);
+                          .connect_ms = CONNECT_TIMEOUT_MS};
+    request->exchange = exchange_start(relay->exchanges, &ask, &request_hooks);
     if (request->sends == 1) {
-        request->added_us = time_mono_us() - request->came_us;
+        request->overhead_us = time_mono_us() - request->received_us;
     }
 }
--- a/relay/retry-rule.c
+++ b/relay/retry-rule.c
@@ -1,104 +1,110 @@
 #include "retry-rule.h"
 
-/* Sends of one request at most, whatever they came to: five servers that
- * refuse within milliseconds say that the service is full. */
+/* Maximum number of sends of a request, whatever their results: five
+ * rejections within milliseconds mean that the service is full. */
 #define SENDS_MAX 5
-/* A stream that has begun is worth more patience: all servers may be loading
- * weights or full for a second, and breaking it off throws away what its
- * caller has. */
-#define SENDS_BEGUN_MAX 12
-#define LEFT_WAIT_MS 500
-/* A retry with less time than this cannot bring an answer, ms: two ways to a
- * server and its shortest work. */
-#define LEFT_LEAST_MS 20
+/* A stream whose answer has started may be sent more often and wait in
+ * between: all servers may be loading weights or full for a second, and
+ * aborting it would waste what its caller has received. */
+#define SENDS_STARTED_MAX 12
+#define REMAINING_WAIT_MIN_MS 500
+/* With less time than this a retry can't bring an answer: it takes two network
+ * transfers and the shortest processing time of a server. */
+#define REMAINING_MIN_MS 20
 
-/* Whether a request may run a second time after it may have run once. */
+/* Whether a request that may have run may be sent again. */
 bool
-retry_may_repeat(route_kind_t kind, bool resumable)
+retry_can_rerun(route_kind_t kind, bool resumable)
 {
     switch (kind) {
         case ROUTE_IDEMPOTENT:
             return true;
         case ROUTE_STREAM:
             return resumable;
-        case ROUTE_ONCE:
+        case ROUTE_NON_IDEMPOTENT:
             break;
     }
     return false;
 }
 
 static bool
-has_room(const retry_ask_t *ask, send_fate_t fate)
+can_send_again(const retry_state_t *state, send_result_t result)
 {
-    return ask->sends < SENDS_MAX && ask->left_ms >= LEFT_LEAST_MS &&
-           (ask->share_left || fate == FATE_UNSENT);
+    return state->sends < SENDS_MAX &&
+           state->remaining_ms >= REMAINING_MIN_MS &&
+           (state->within_share || result == SEND_UNSENT);
 }
 
-/* What to do next.  "Not run" is told only where no send at all may have run;
- * an answer that has begun can only go on or be broken off. */
-retry_verdict_t
-retry_decide(const retry_ask_t *ask, send_fate_t fate)
+/* Decides what to do after a send that failed.  A request is reported as not
+ * run only if none of its sends may have run.  An answer that has started can
+ * only be continued or aborted. */
+retry_decision_t
+retry_decide(const retry_state_t *state, send_result_t result)
 {
-    bool room = has_room(ask, fate);
-    retry_verdict_t over = ask->begun ? RETRY_BREAK : RETRY_FAIL;
-    switch (fate) {
-        case FATE_UNSENT:
-        case FATE_REFUSED:
-            if (room && ask->ran < ask->attempts) {
-                return RETRY_AGAIN;
+    bool can_send = can_send_again(state, result);
+    retry_decision_t failure =
+        state->answer_started ? RETRY_ABORT : RETRY_FAIL;
+    switch (result) {
+        case SEND_UNSENT:
+        case SEND_REJECTED:
+            if (can_send && state->ran < state->attempts_max) {
+                return RETRY_NOW;
             }
-            if (ask->begun && ask->left_ms >= LEFT_WAIT_MS &&
-                ask->sends < SENDS_BEGUN_MAX && ask->ran < ask->attempts) {
-                return RETRY_WAIT;
+            if (state->answer_started &&
+                state->remaining_ms >= REMAINING_WAIT_MIN_MS &&
+                state->sends < SENDS_STARTED_MAX &&
+                state->ran < state->attempts_max) {
+                return RETRY_LATER;
             }
-            return ask->ran == 0 && !ask->begun ? RETRY_REFUSE : over;
-        case FATE_UNKNOWN:
-        case FATE_FAILED:
+            return state->ran == 0 && !state->answer_started ? RETRY_REJECT
+                                                             : failure;
+        case SEND_UNKNOWN:
+        case SEND_FAILED:
             break;
     }
-    if (room && ask->ran < ask->attempts &&
-        retry_may_repeat(ask->kind, ask->resumable)) {
-        return RETRY_AGAIN;
+    if (can_send && state->ran < state->attempts_max &&
+        retry_can_rerun(state->kind, state->resumable)) {
+        return RETRY_NOW;
     }
-    if (fate == FATE_FAILED && !ask->begun) {
+    if (result == SEND_FAILED && !state->answer_started) {
         return RETRY_PASS;
     }
-    return over;
+    return failure;
 }
 
-/* The word for logs. */
+/* Returns the name used in logs. */
 const char *
-send_fate_word(send_fate_t fate)
+send_result_name(send_result_t result)
 {
-    switch (fate) {
-        case FATE_UNSENT:
+    switch (result) {
+        case SEND_UNSENT:
             return "unsent";
-        case FATE_REFUSED:
+        case SEND_REJECTED:
             return "refused";
-        case FATE_UNKNOWN:
+        case SEND_UNKNOWN:
             return "may-have-run";
-        case FATE_FAILED:
+        case SEND_FAILED:
             break;
     }
     return "failed";
 }
 
-/* The word for logs. */
+/* Returns the name used in logs. */
 const char *
-retry_verdict_word(retry_verdict_t verdict)
+retry_decision_name(retry_decision_t decision)
 {
-    switch (verdict) {
-        case RETRY_AGAIN:
+    switch (decision) {
+        case RETRY_NOW:
             return "again";
-        case RETRY_WAIT:
+        case RETRY_LATER:
             return "wait";
-        case RETRY_REFUSE:
+        case RETRY_REJECT:
             return "refuse";
         case RETRY_FAIL:
             return "fail";
         case RETRY_PASS:
             return "pass";
-        case RETRY_BREAK:
+        case RETRY_ABORT:
             break;
     }
     return "break";
--- a/relay/servers.h
+++ b/relay/servers.h
@@ -1,23 +1,23 @@
 #ifndef CELERYSPOOL_SERVERS_H
 #define CELERYSPOOL_SERVERS_H
 
-/* The backend servers that the platform lists, and what this host has seen of
- * them.  No I/O and no clock: times go in. */
+/* The backend servers that the platform lists, and what this host has observed
+ * of them.  No I/O; times are passed in. */
 
 #include "../kernel/base.h"
 #include "cached-parts.h"
 
 #include <ck_queue.h>
 
-/* Numbers that the cache map distinguishes; the last ones are not servers',
- * see cache-source.h. */
-#define SERVERS_MAX 1024
-#define SERVER_NUMBERS_MAX (SERVERS_MAX - 8)
+/* Numbers of holders in the cache map.  The last 8 belong to kv stores, see
+ * cache-source.h. */
+#define HOLDER_NUMBERS_MAX 1024
+#define SERVER_NUMBERS_MAX (HOLDER_NUMBERS_MAX - 8)
 #define SERVER_MODEL_MAX 64
 
-/* Prompt tokens that an engine reads in a millisecond, steps of those that
- * generate included.  Each server's own speed is learned: see server_speed. */
-#define SERVER_READ_TOKENS_PER_MS 48.0
+/* Prefill rate of an engine, including the decode steps in between.  Each
+ * server's deviation from it is measured: see server_update_slowness. */
+#define SERVER_PREFILL_TOKENS_PER_MS 48.0
 
 /* A server's entry on the platform, decoded by platform/server-read.c. */
 typedef struct {
@@ -28,77 +28,87 @@
     int slots;
     bool draining;
     bool engine;                  /* it serves a model */
-    char model[SERVER_MODEL_MAX]; /* of an engine */
-    int64_t weights;              /* version of its model's weights */
-    int64_t born_ms;              /* wall clock, of its start; 0 unknown */
+    char model[SERVER_MODEL_MAX]; /* engines only */
+    int64_t weights;              /* version of the model's weights */
+    int64_t started_ms;           /* wall-clock start time; 0 if unknown */
 } server_entry_t;
 
-/* Why a send came to nothing, for the circuit. */
+/* Why an attempt failed, for the circuit breaker. */
 typedef enum {
-    SERVER_FAULT_CONNECT, /* no connection in time */
-    SERVER_FAULT_BROKEN,  /* reset, cut or garbled */
-    SERVER_FAULT_ERROR,   /* an error answer of its own */
-    SERVER_FAULT_SILENT   /* no answer in the time that it had */
+    SERVER_FAULT_CONNECT, /* connect failed or timed out */
+    SERVER_FAULT_BROKEN,  /* reset, truncated or malformed answer */
+    SERVER_FAULT_ERROR,   /* the server answered with an error */
+    SERVER_FAULT_TIMEOUT  /* no answer before the timeout */
 } server_fault_t;
 
-/* What another host has at a server, as it last announced. */
-#define OTHER_HOSTS_MAX 384
+#define SERVER_PEERS_MAX 384
 
+/* A host's load at a server, as last announced by that host. */
 typedef struct {
-    uint64_t host; /* hash of its address; 0 for none */
+    uint64_t host; /* hash of the host's address; 0 for none */
     int64_t received_ms;
-    double unread;
+    double prefill_tokens; /* not prefilled yet */
     int running;
-    uint32_t filled; /* tokens of requests' own parts, of all time, wraps */
-    uint32_t sent;   /* tokens to read, of all time, wraps; 0: not reported */
-} other_load_t;
+    /* Total of tokens that no other request shares, modulo 2^32. */
+    uint32_t unshared_tokens;
+    /* Total of tokens sent for prefill, modulo 2^32; 0 if not reported. */
+    uint32_t sent_tokens;
+} server_peer_load_t;
 
 typedef struct server {
     CK_LIST_ENTRY(server) entry;
     server_entry_t info;
-    int64_t revision;       /* of its entry */
-    bool ordered;           /* this host is bringing it to other weights */
-    int64_t order_after_ms; /* not ordered again before */
-    int64_t loading_ms;     /* it is reported to load weights until then */
-    uint32_t key;           /* hash of its id, for other hosts */
-    uint16_t number;        /* in the cache map; used again when it is gone */
-    int64_t missing_ms; /* since when its entry is gone, 0 if it is there */
-    bool gone;          /* off the list for good; kept while it is used */
-    bool misplaced;     /* another server answers at its address */
-    unsigned seen;      /* count of the list that it was last on */
-    int own_running;    /* requests of this host at it */
-    double own_unread;  /* their prompt tokens that are not read yet */
-    double announced_unread; /* as other hosts were last notified */
-    int announced_running;
-    int64_t announced_ms;
-    uint32_t announced_sent;
-    uint32_t sent;     /* tokens given to it to read, of all time, wraps */
-    double booked;     /* tokens of all hosts, read at a part of its speed */
-    int64_t booked_ms; /* when that was */
-    cached_parts_t *held; /* what its cache is believed to hold */
-    uint32_t
-        filled; /* tokens of own requests' own parts, of all time, wraps */
-    uint32_t announced_filled; /* the same, as last notified */
-    other_load_t others[OTHER_HOSTS_MAX];
-    size_t other_count; /* places in use */
-    int load_running;   /* by its own report */
-    int load_waiting;
-    int64_t load_ms; /* when it reported that, 0 for never */
-    int64_t
-        crowd_announced_ms; /* when others were last notified of its load */
-    double hold_ms;     /* that a request takes a slot from its first token on,
-                         * smoothed; 0 unknown */
-    unsigned faults;    /* in a row */
-    int64_t closed_ms;  /* the circuit is open until then */
-    int64_t full_ms;    /* it refused a request: not before then */
-    double error_share; /* of its answers lately that were errors */
-    double slowness;    /* observed over expected time, smoothed */
-    int64_t asked_ms;   /* when its report was last asked for */
-    int64_t answered_ms; /* when anything last came from it */
-    int64_t alive_ms; /* the same, to this host or another that reported it */
-    int64_t busy_ms;  /* since when requests of this host are at it */
-    bool probing;     /* it is being asked whether it is there */
-    bool silent;      /* it was asked and did not answer */
+    int64_t revision;       /* of the platform's entry */
+    bool ordered;           /* this host is changing the server's weights */
+    int64_t order_after_ms; /* no new order before this time */
+    /* No new requests before this time: the server loads weights. */
+    int64_t loading_until_ms;
+    uint32_t key;    /* hash of the id, sent to other hosts */
+    uint16_t number; /* in the cache map; reused after removal */
+    /* When the entry disappeared from the platform; 0 if it is listed. */
+    int64_t missing_since_ms;
+    bool removed;       /* no longer listed; freed when no request uses it */
+    bool address_taken; /* another server answers at this address */
+    unsigned list_generation;  /* of the last list that had this server */
+    int own_running;           /* requests of this host at the server */
+    double own_prefill_tokens; /* of this host, not prefilled yet */
+    double announced_prefill_tokens; /* own_prefill_tokens last announced */
+    int announced_running;           /* own_running last announced */
+    int64_t announced_ms;            /* time of the last announcement */
+    uint32_t announced_sent_tokens;  /* sent_tokens last announced */
+    /* Total of tokens sent for prefill by this host, modulo 2^32. */
+    uint32_t sent_tokens;
+    /* Tokens of all hosts, prefilled at a share of the server's speed; see
+     * server_update_backlog. */
+    double backlog_tokens;
+    int64_t backlog_updated_ms;
+    cached_parts_t *held; /* estimated contents of the prefix cache */
+    /* Total of tokens of this host's requests that no other request shares,
+     * modulo 2^32. */
+    uint32_t unshared_tokens;
+    uint32_t announced_unshared_tokens; /* unshared_tokens last announced */
+    server_peer_load_t peer_loads[SERVER_PEERS_MAX];
+    size_t peer_load_count; /* used elements of peer_loads */
+    int reported_running;   /* from the server's own load report */
+    int reported_waiting;   /* from the server's own load report */
+    int64_t reported_ms;    /* time of the last load report; 0 for never */
+    /* When peers were last notified of the server's load report. */
+    int64_t load_announced_ms;
+    /* Smoothed time that a request occupies a slot, from its first token on;
+     * 0 if unknown. */
+    double slot_time_ms;
+    unsigned consecutive_faults;
+    int64_t circuit_open_until_ms;
+    int64_t full_until_ms; /* counts as full after a refusal until then */
+    double error_share;    /* smoothed share of error answers */
+    double slowness;       /* smoothed ratio of observed to expected time */
+    int64_t probed_ms;     /* time of the last probe */
+    int64_t answered_ms;   /* when data last arrived from the server */
+    /* When the server last answered this host or a host that reported it. */
+    int64_t confirmed_alive_ms;
+    int64_t busy_since_ms; /* when own_running last rose from 0 */
+    bool probing;          /* a probe is in flight */
+    bool unresponsive;     /* the last probe got no answer */
 } server_t;
 
 typedef CK_LIST_HEAD(server_list, server) server_list_t;
@@ -106,39 +116,44 @@
 typedef struct {
     server_list_t list;
     size_t count;
-    unsigned lists; /* how many whole lists were read */
+    unsigned list_generation;               /* number of complete lists read */
     server_t *numbered[SERVER_NUMBERS_MAX]; /* NULL for a free number */
 } servers_t;
 
 servers_t *servers_new(void);
 void servers_free(servers_t *servers);
 server_t *servers_find(servers_t *servers, const char *id);
-server_t *servers_numbered(const servers_t *servers, uint16_t number);
-server_t *servers_keyed(const servers_t *servers, uint32_t key);
+server_t *servers_find_by_number(const servers_t *servers, uint16_t number);
+server_t *servers_find_by_key(const servers_t *servers, uint32_t key);
 server_t *servers_put(servers_t *servers, const server_entry_t *entry);
 void servers_remove(servers_t *servers, server_t *server);
 void servers_sweep(servers_t *servers);
-void server_sent(server_t *server, double unread_tokens, int64_t now_ms);
-void server_read(server_t *server, double tokens);
-void server_done(server_t *server);
-void server_load(server_t *server, int running, int waiting, int64_t now_ms);
-bool server_load_fresh(const server_t *server, int64_t now_ms);
-int server_places_taken(const server_t *server, int64_t now_ms);
-bool server_crowded_news(server_t *server, int64_t now_ms);
+void server_add_request(server_t *server, double prefill_tokens,
+                        int64_t now_ms);
+void server_subtract_prefill(server_t *server, double tokens);
+void server_remove_request(server_t *server);
+void server_set_load(server_t *server, int running, int waiting,
+                     int64_t now_ms);
+bool server_has_recent_load(const server_t *server, int64_t now_ms);
+int server_count_in_flight(const server_t *server, int64_t now_ms);
+bool server_should_announce_load(server_t *server, int64_t now_ms);
 double server_slot_wait_ms(const server_t *server, int64_t now_ms);
-void server_held_slot(server_t *server, double ms);
-void server_fault(server_t *server, server_fault_t fault, int64_t now_ms);
-void server_good(server_t *server);
-bool server_usable(const server_t *server, int64_t now_ms);
-void server_filled(server_t *server, uint32_t tokens);
-void server_peer_load(server_t *server, const other_load_t *report);
-int server_running(const server_t *server, int64_t now_ms);
-double server_booked(server_t *server, int64_t now_ms);
-double server_others_unread(const server_t *server, int64_t now_ms);
-void server_speed(server_t *server, double expected_ms, double observed_ms);
-bool server_wants_probe(const server_t *server, int64_t now_ms);
+void server_observe_slot_time(server_t *server, double ms);
+void server_record_fault(server_t *server, server_fault_t fault,
+                         int64_t now_ms);
+void server_record_success(server_t *server);
+bool server_is_usable(const server_t *server, int64_t now_ms);
+void server_add_unshared(server_t *server, uint32_t tokens);
+void server_apply_peer_load(server_t *server,
+                            const server_peer_load_t *report);
+int server_count_running(const server_t *server, int64_t now_ms);
+double server_update_backlog(server_t *server, int64_t now_ms);
+double server_sum_peer_prefill(const server_t *server, int64_t now_ms);
+void server_update_slowness(server_t *server, double expected_ms,
+                            double observed_ms);
+bool server_needs_probe(const server_t *server, int64_t now_ms);
 void server_confirm_alive(server_t *server, int64_t now_ms);
-bool server_is_source(const server_t *server, int64_t now_ms);
+bool server_is_fetch_source(const server_t *server, int64_t now_ms);
 void server_note_answer(server_t *server, int64_t now_ms);
 
 #endif
--- a/tests/test-object-cache.c
+++ b/tests/test-object-cache.c
@@ -14,14 +14,14 @@
 {
     const json_t *object =
         json_object_get(object_cache_objects(cache, KIND_SERVERS), name);
-    return object != NULL ? platform_revision(object) : 0;
+    return object != NULL ? platform_object_revision(object) : 0;
 }
 
-/* Servers that live get no new weights: while the store was away a daemon took
- * a list of another one that was behind, lost the entries that it knew in a
- * newer form, and told its own list on to the daemon that gives the orders,
- * which took them for gone. */
-START_TEST(a_list_that_is_behind_loses_nothing)
+/* Guards against live servers that get no new weights: while the store is
+ * unreachable, a daemon applies an outdated list of another one and loses
+ * entries that it knew at newer revisions.  Then it serves its own list to the
+ * daemon that orders the loads, which treats their servers as removed. */
+START_TEST(outdated_list_keeps_newer_objects)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     object_cache_t *cache = object_cache_new(relay);
@@ -29,10 +29,10 @@
     put(cache, "b", 20);
     put(cache, "c", 30);
     put(cache, "d", 5);
-    object_cache_list(cache, KIND_SERVERS);
+    object_cache_list_begin(cache, KIND_SERVERS);
     put(cache, "a", 10);
     put(cache, "b", 15);
-    object_cache_listed(cache, KIND_SERVERS, 25);
+    object_cache_list_end(cache, KIND_SERVERS, 25);
     ck_assert_int_eq(revision_of(cache, "a"), 10);
     ck_assert_int_eq(revision_of(cache, "b"), 20);
     ck_assert_int_eq(revision_of(cache, "c"), 30);
@@ -42,4 +42,4 @@
 }
 END_TEST
 
-TEST_MAIN("object-cache", a_list_that_is_behind_loses_nothing)
+TEST_MAIN("object-cache", outdated_list_keeps_newer_objects)
--- a/tests/test-stream.c
+++ b/tests/test-stream.c
@@ -10,52 +10,56 @@
     "data: no id\n\n"
     "id: 10\ndata: d\n\n";
 
-/* Events reach the caller whole, whatever pieces they come in. */
-START_TEST(pieces_become_whole_events)
+/* Guards against split events: each event is passed on complete, however the
+ * stream is cut into pieces. */
+START_TEST(split_events_are_joined)
 {
     for (uint64_t seed = 0; seed < 500; seed++) {
         rng_t rng = {seed};
         stream_t stream;
         CLEAN_BUF buf_t out = {0};
-        size_t at = 0;
+        size_t offset = 0;
         size_t count = 0;
         stream_init(&stream, "");
-        while (at < sizeof(events) - 1) {
+        while (offset < sizeof(events) - 1) {
             size_t step = 1 + (size_t)rng_below(&rng, 9);
-            step = step < sizeof(events) - 1 - at ? step
-                                                  : sizeof(events) - 1 - at;
-            count += stream_take(&stream, events + at, step, &out);
-            at += step;
+            step = step < sizeof(events) - 1 - offset
+                       ? step
+                       : sizeof(events) - 1 - offset;
+            count += stream_feed(&stream, events + offset, step, &out);
+            offset += step;
             ck_assert(out.len == 0 || out.data[out.len - 1] == '\n');
         }
         ck_assert_uint_eq(count, 5);
         ck_assert_str_eq(buf_text(&out), events);
-        ck_assert_str_eq(stream.last, "10");
-        ck_assert_uint_eq(stream.part.len, 0);
+        ck_assert_str_eq(stream.last_id, "10");
+        ck_assert_uint_eq(stream.partial.len, 0);
         stream_free(&stream);
     }
 }
 END_TEST
 
-/* A server dies within an event, and another goes on one event too early.
- * The caller gets neither the half event nor one that it has. */
-START_TEST(another_server_goes_on_without_gap_or_repeat)
+/* A server fails in the middle of an event, and another resumes the stream one
+ * event too early.  Guards against passing on the incomplete event or one that
+ * the caller already has. */
+START_TEST(resumed_stream_has_no_gap_or_repeat)
 {
     stream_t stream;
     CLEAN_BUF buf_t out = {0};
     stream_init(&stream, "");
-    (void)stream_take(&stream, "id: 1\ndata: a\n\nid: 2\nda", 23, &out);
-    ck_assert_str_eq(stream.last, "1");
+    (void)stream_feed(&stream, "id: 1\ndata: a\n\nid: 2\nda", 23, &out);
+    ck_assert_str_eq(stream.last_id, "1");
     stream_restart(&stream);
-    (void)stream_take(&stream, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 30,
+    (void)stream_feed(&stream, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 30,
                       &out);
     ck_assert_str_eq(buf_text(&out), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     stream_free(&stream);
 }
 END_TEST
 
-/* A broken server sends without end and without an event. */
-START_TEST(an_event_without_end_is_bounded)
+/* A broken server sends data endlessly without completing an event.  Guards
+ * against buffering it without bound. */
+START_TEST(endless_event_is_bounded)
 {
     stream_t stream;
     CLEAN_BUF buf_t out = {0};
@@ -63,13 +67,12 @@
     memset(block, 'x', sizeof(block));
     stream_init(&stream, "");
     for (int i = 0; i < 100 && !stream.overflow; i++) {
-        (void)stream_take(&stream, block, sizeof(block), &out);
+        (void)stream_feed(&stream, block, sizeof(block), &out);
     }
     ck_assert(stream.overflow);
     stream_free(&stream);
 }
 END_TEST
 
-TEST_MAIN("stream", pieces_become_whole_events,
-          another_server_goes_on_without_gap_or_repeat,
-          an_event_without_end_is_bounded)
+TEST_MAIN("stream", split_events_are_joined,
+          resumed_stream_has_no_gap_or_repeat, endless_event_is_bounded)
