--- a/daemons/celeryspoold.c
+++ b/daemons/celeryspoold.c
@@ -81,22 +81,22 @@
         time_sleep_ms(SERVE_STEP_MS);
     }
     int seen = 1;
-    daemon_leave(daemon);
+    daemon_drain(daemon);
     int64_t door = time_mono_ms() + daemon->settings.grace_ms;
     bool closed = false;
-    while (!closed || !daemon_left(daemon)) {
+    while (!closed || !daemon_is_drained(daemon)) {
         time_sleep_ms(SERVE_STEP_MS);
         if (stop_signals > seen) {
             seen = stop_signals;
-            daemon_leave(daemon);
+            daemon_drain(daemon);
         }
         if (!closed && time_mono_ms() >= door) {
-            http_server_quiesce(daemon->server);
+            http_server_quiesce(daemon->http_server);
             closed = true;
         }
     }
     int64_t last = time_mono_ms() + daemon->settings.grace_ms;
-    while (http_server_connections(daemon->server) > 0 &&
+    while (http_server_connections(daemon->http_server) > 0 &&
            time_mono_ms() < last) {
         time_sleep_ms(SERVE_STEP_MS);
     }
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -69,7 +69,7 @@
 
 /* Parse and check a body; NULL with an error that names the field. */
 json_t *
-chat_body_read(const char *text, size_t len, err_t *err)
+chat_body_parse(const char *text, size_t len, err_t *err)
 {
     json_error_t where;
     if (!utf8_is_valid(text, len)) {
@@ -120,7 +120,7 @@
 is_resume_of(const call_t *call, const resume_t *resume)
 {
     return strcmp(resume->workspace, call->workspace) == 0 &&
-           resume->ask == call->u.chat.ask;
+           resume->ask == call->u.chat.prompt_hash;
 }
 
 /* Go on with a stream that began at this or another daemon.  A token of
@@ -151,14 +151,14 @@
     str_copy(call->incarnation, sizeof(call->incarnation), resume.incarnation);
     str_copy(call->stream_id, sizeof(call->stream_id), resume.stream);
     str_copy(call->version, sizeof(call->version), resume.version);
-    str_copy(chat->token, sizeof(chat->token), last_id);
-    *strrchr(chat->token, '.') = '\0';
+    str_copy(chat->resume_token, sizeof(chat->resume_token), last_id);
+    *strrchr(chat->resume_token, '.') = '\0';
     event_emit(&(event_t){.kind = "resume-asked",
                           .request = call->id,
                           .workspace = call->workspace,
                           .backend = call->backend,
                           .received = call->stream_id});
-    chat_resume_leg(call);
+    chat_attempt_resume(call);
 }
 
 static void
@@ -170,8 +170,8 @@
         (void)pthread_mutex_unlock(&call->lock);
         return;
     }
-    retry_budget_earn(&call->daemon->retries);
-    dispatch_push(call);
+    retry_budget_earn(&call->daemon->retry_budget);
+    dispatch_submit(call);
 }
 
 /* Serve POST /v1/chat/completions. */
@@ -182,17 +182,17 @@
     err_t err = {0};
     size_t len;
     const char *text = http_req_body(req, &len);
-    json_t *body = chat_body_read(text, len, &err);
+    json_t *body = chat_body_parse(text, len, &err);
     if (body == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 400, "bad_request", "%s", err.text);
         return;
     }
     const char *model = json_text(body, "model");
     if (config_model(config, model) == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 404, "unknown_model",
                              "model %.64s is not declared",
                              model == NULL ? "(none)" : model);
@@ -205,11 +205,11 @@
     chat->stream = json_flag(body, "stream");
     take_partial(chat);
     cache_salt(daemon->settings.secret, workspace->name, model, chat->salt);
-    chat->ask = ask_hash(workspace->name, chat);
+    chat->prompt_hash = ask_hash(workspace->name, chat);
     prefix_compute(&chat->prefix, json_object_get(body, "messages"),
                    chat->salt, config_model(config, model)->version);
-    call->item.cost = chat->prefix.tokens;
-    call_event(call, "received", NULL);
+    call->queue_item.cost = chat->prefix.tokens;
+    call_emit_event(call, "received", NULL);
     begin(call, http_req_header(req, "Last-Event-ID"), config);
     call_release(call);
 }
@@ -241,7 +241,7 @@
         (int)chat->emitted, "prompt_tokens_details", "cached_tokens",
         (int)chat->cached_tokens);
     http_req_reply_header(call->req, OUTCOME_HEADER,
-                          outcome_word(OUTCOME_DONE));
+                          outcome_name(OUTCOME_DONE));
     http_req_reply_json(call->req, 200, body);
 }
 
@@ -263,5 +263,5 @@
     else {
         finish_whole(call);
     }
-    call_ended(call, OUTCOME_DONE);
+    call_end(call, OUTCOME_DONE);
 }
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -22,27 +22,27 @@
     pthread_mutex_t running; /* one thread at a time moves a lane */
 };
 
-static lane_t *
+static backend_queue_t *
 lane_of(celeryspoold_t *daemon, uint16_t backend)
 {
-    LOCK_SCOPE(&daemon->lanes_lock);
-    lane_t *lane = daemon->lanes[backend];
+    LOCK_SCOPE(&daemon->queues_lock);
+    backend_queue_t *lane = daemon->queues[backend];
     if (lane == NULL) {
         sched_opts_t opts = {.total_max = LANE_WAITING_MAX};
         lane = mem_zalloc(sizeof(*lane));
         lane->backend = backend;
         lane->sched = sched_new(&opts);
         (void)pthread_mutex_init(&lane->running, NULL);
-        __atomic_store_n(&daemon->lanes[backend], lane, __ATOMIC_RELEASE);
+        __atomic_store_n(&daemon->queues[backend], lane, __ATOMIC_RELEASE);
     }
     return lane;
 }
 
 /* The lane of a server, or NULL where nothing ever waited for it. */
-static lane_t *
+static backend_queue_t *
 lane_at(celeryspoold_t *daemon, size_t backend)
 {
-    return __atomic_load_n(&daemon->lanes[backend], __ATOMIC_ACQUIRE);
+    return __atomic_load_n(&daemon->queues[backend], __ATOMIC_ACQUIRE);
 }
 
 /* How long this daemon's share of a server needs for what waits here, in ms:
@@ -50,7 +50,7 @@
 static double
 lane_wait_ms(celeryspoold_t *daemon, uint16_t backend, double rate)
 {
-    const lane_t *lane = lane_at(daemon, backend);
+    const backend_queue_t *lane = lane_at(daemon, backend);
     if (lane == NULL) {
         return 0;
     }
@@ -67,7 +67,7 @@
 }
 
 static void
-give_up_on(lane_t *lane, sched_item_t *item, const char *code,
+give_up_on(backend_queue_t *lane, sched_item_t *item, const char *code,
            const char *text)
 {
     call_t *call = item->owner;
@@ -76,7 +76,7 @@
                   (double)members_live(daemon->members);
     int retry_after = sched_retry_after_s(lane->sched, rate);
     (void)pthread_mutex_lock(&call->lock);
-    call_refuse(call, 429, code, retry_after, text);
+    call_reject(call, 429, code, retry_after, text);
     (void)pthread_mutex_unlock(&call->lock);
     call_release(call);
 }
@@ -103,7 +103,7 @@
 note_choice(call_t *call, const policy_t *policy, const candidate_t *chosen,
             size_t count)
 {
-    (void)snprintf(call->why, sizeof(call->why),
+    (void)snprintf(call->placement_reason, sizeof(call->placement_reason),
                    "policy %s chose of %zu: wait %.1f ms, cached %u of %u "
                    "tokens, version %s",
                    policy->name, count, chosen->wait_ms, chosen->cached,
@@ -165,11 +165,11 @@
                            .dc = daemon->settings.dc,
                            .now_ms = time_mono_ms(),
                            .wall_ms = time_wall_ms()};
-    place_ask_t ask = {
-        .objective = config->objective,
-        .turn = __atomic_fetch_add(&daemon->turn, 1, __ATOMIC_RELAXED)};
+    place_ask_t ask = {.objective = config->objective,
+                       .turn = __atomic_fetch_add(&daemon->placement_count, 1,
+                                                  __ATOMIC_RELAXED)};
     static const prefix_t none = {0};
-    for (unsigned i = 0; i < call->tried && i < TRIED_MAX; i++) {
+    for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
         scene.avoid[i] = call->tried_names[i];
     }
     size_t count = candidates_of(call, &scene, all, version);
@@ -193,13 +193,13 @@
 send_call(call_t *call, const candidate_t *candidate)
 {
     series_observe(call->series, METRIC_OVERHEAD,
-                   time_mono_us() - call->began_us);
+                   time_mono_us() - call->received_us);
     switch (call->kind) {
         case CALL_CHAT:
-            chat_leg_start(call, candidate);
+            chat_attempt_start(call, candidate);
             return;
         case CALL_SERVICE:
-            service_leg_start(call, candidate);
+            service_attempt_start(call, candidate);
             return;
     }
 }
@@ -224,7 +224,7 @@
 static void
 refuse_unplaced(call_t *call)
 {
-    call_refuse(call, 503, "no_backend", 1,
+    call_reject(call, 503, "no_backend", 1,
                 "no backend server takes this work now");
 }
 
@@ -248,7 +248,7 @@
 
 /* Serve a lane while its server is free. */
 static void
-lane_run(celeryspoold_t *daemon, lane_t *lane)
+lane_run(celeryspoold_t *daemon, backend_queue_t *lane)
 {
     if (pthread_mutex_trylock(&lane->running) != 0) {
         return;
@@ -264,14 +264,14 @@
 /* Send a call whose server is free and for which nobody waits; true if it was
  * sent. */
 static bool
-goes_at_once(celeryspoold_t *daemon, lane_t *lane, call_t *call,
+goes_at_once(celeryspoold_t *daemon, backend_queue_t *lane, call_t *call,
              const candidate_t *candidate)
 {
     if (sched_waiting(lane->sched) > 0 || is_busy(daemon, lane->backend)) {
         return false;
     }
     LOCK_SCOPE(&call->lock);
-    call->item.first = true;
+    call->queue_item.first = true;
     send_call(call, candidate);
     return true;
 }
@@ -279,7 +279,7 @@
 /* Place a call, and send it or queue it in the lane of its server.  The queue
  * holds one share of the call.  No call's lock is held by the caller. */
 void
-dispatch_push(call_t *call)
+dispatch_submit(call_t *call)
 {
     celeryspoold_t *daemon = call->daemon;
     candidate_t candidate;
@@ -295,24 +295,24 @@
         call_release(call);
         return;
     }
-    lane_t *lane = lane_of(daemon, candidate.id);
+    backend_queue_t *lane = lane_of(daemon, candidate.id);
     double uncached =
         call->kind == CALL_CHAT
             ? (double)call->u.chat.prefix.tokens - (double)candidate.cached
             : 0;
-    call->item.cost = uncached > COST_LEAST ? uncached : COST_LEAST;
-    call->item.placed_ms = time_mono_ms();
+    call->queue_item.cost = uncached > COST_LEAST ? uncached : COST_LEAST;
+    call->queue_item.placed_ms = time_mono_ms();
     if (goes_at_once(daemon, lane, call, &candidate)) {
         call_release(call);
         return;
     }
     if (comes_too_late(call, &candidate)) {
-        give_up_on(lane, &call->item, "overloaded",
+        give_up_on(lane, &call->queue_item, "overloaded",
                    "the queue is longer than the request's deadline");
         return;
     }
-    if (!sched_push(lane->sched, &call->item, &evicted)) {
-        give_up_on(lane, &call->item, "overloaded",
+    if (!sched_push(lane->sched, &call->queue_item, &evicted)) {
+        give_up_on(lane, &call->queue_item, "overloaded",
                    "the queue of this workspace is full");
         return;
     }
@@ -329,7 +329,7 @@
 {
     size_t count = view_count(daemon->view);
     for (size_t i = 0; i < count; i++) {
-        lane_t *lane = lane_at(daemon, i);
+        backend_queue_t *lane = lane_at(daemon, i);
         if (lane != NULL && sched_waiting(lane->sched) > 0) {
             lane_run(daemon, lane);
         }
@@ -339,7 +339,7 @@
 /* The first of a lane may have a better place by now: another server became
  * idle, or its own is gone. */
 static void
-replace_heads(lane_t *lane, int64_t now_ms)
+replace_heads(backend_queue_t *lane, int64_t now_ms)
 {
     for (int i = 0; i < HEADS_A_TICK; i++) {
         sched_item_t *item =
@@ -357,7 +357,7 @@
             sched_put_back(lane->sched, item);
             continue;
         }
-        dispatch_push(call);
+        dispatch_submit(call);
         call_release(call);
     }
 }
@@ -370,7 +370,7 @@
     int64_t now = time_mono_ms();
     size_t count = view_count(daemon->view);
     for (size_t i = 0; i < count; i++) {
-        lane_t *lane = lane_at(daemon, i);
+        backend_queue_t *lane = lane_at(daemon, i);
         sched_item_t *item;
         if (lane == NULL || sched_waiting(lane->sched) == 0) {
             continue;
@@ -386,11 +386,11 @@
 
 /* How many calls wait in all lanes. */
 size_t
-dispatch_waiting(celeryspoold_t *daemon)
+dispatch_waiting_count(celeryspoold_t *daemon)
 {
     size_t waiting = 0;
     for (size_t i = 0; i < BACKENDS_MAX; i++) {
-        const lane_t *lane = lane_at(daemon, i);
+        const backend_queue_t *lane = lane_at(daemon, i);
         waiting += lane == NULL ? 0 : sched_waiting(lane->sched);
     }
     return waiting;
@@ -401,7 +401,7 @@
 dispatch_free(celeryspoold_t *daemon)
 {
     for (size_t i = 0; i < BACKENDS_MAX; i++) {
-        lane_t *lane = daemon->lanes[i];
+        backend_queue_t *lane = daemon->queues[i];
         if (lane != NULL) {
             sched_free(lane->sched);
             (void)pthread_mutex_destroy(&lane->running);
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -31,34 +31,34 @@
 /* Move the call to another server, which goes on from the prompt and the
  * tokens that are there.  The call's lock is held. */
 void
-chat_move(call_t *call)
+chat_fail_over(call_t *call)
 {
     const chat_t *chat = &call->u.chat;
     candidate_t candidate;
     int64_t now = time_mono_ms();
     /* A resumed stream whose server is gone: the text before the offset is
      * with the caller only, unless its body brought it along. */
-    if (chat->gap || (chat->emitted > 0 && chat->text.len == 0)) {
+    if (chat->has_gap || (chat->emitted > 0 && chat->text.len == 0)) {
         give_up(call);
         return;
     }
-    if (call->recover_until_ms == 0) {
-        call->recover_until_ms = now + RECOVER_MS;
+    if (call->recovery_deadline_ms == 0) {
+        call->recovery_deadline_ms = now + RECOVER_MS;
     }
     call->retry_at_ms = 0;
     if (dispatch_place(call, &candidate)) {
         series_count(call->series, METRIC_MOVED, 1);
-        call_event(call, "moved", NULL);
-        chat_leg_start(call, &candidate);
+        call_emit_event(call, "moved", NULL);
+        chat_attempt_start(call, &candidate);
         return;
     }
-    if (now >= call->recover_until_ms || now >= call->deadline_ms) {
+    if (now >= call->recovery_deadline_ms || now >= call->deadline_ms) {
         give_up(call);
         return;
     }
     /* All that are open have been tried: they may be tried again. */
-    call->tried = 0;
-    call->leg++;
+    call->tried_count = 0;
+    call->attempt_number++;
     call->retry_at_ms = now + RETRY_STEP_MS;
 }
 
@@ -70,29 +70,29 @@
 {
     const chat_t *chat = &call->u.chat;
     if (same_server) {
-        chat_resume_leg(call);
+        chat_attempt_resume(call);
         return;
     }
-    call_note_tried(call);
+    call_mark_tried(call);
     if (chat->emitted == 0 && !chat->resumed &&
-        !retry_budget_spend(&call->daemon->retries)) {
+        !retry_budget_spend(&call->daemon->retry_budget)) {
         http_req_reply_header(call->req, "Retry-After", "2");
         call_fail(call, 503, "retries_spent", call_outcome_so_far(call),
                   "the backend server failed and too many retries are under "
                   "way");
         return;
     }
-    chat_move(call);
+    chat_fail_over(call);
 }
 
 /* A server refused the request before it began: place it anew. */
 void
-chat_redirect(call_t *call, bool same_server_too)
+chat_place_again(call_t *call, bool same_server_too)
 {
-    if (!same_server_too || call->attempts > REDIRECTS_MAX) {
-        call_note_tried(call);
+    if (!same_server_too || call->sent_count > REDIRECTS_MAX) {
+        call_mark_tried(call);
     }
-    chat_move(call);
+    chat_fail_over(call);
 }
 
 /* Asking after a silent stream goes by a connection of its own, because the
@@ -114,9 +114,9 @@
 static void
 abandon_leg(call_t *call)
 {
-    http_client_cancel(call->daemon->client, call->xfer);
-    call_uncount(call);
-    call->leg++;
+    http_client_cancel(call->daemon->http_client, call->xfer);
+    call_remove_from_view(call);
+    call->attempt_number++;
 }
 
 /* What the answer means: the server has sent more than arrived here, so the
@@ -130,7 +130,7 @@
     bool told = end == HTTP_END_WHOLE && status == 200;
     if (told && (json_int(reply, "emitted", 0) > call->u.chat.emitted ||
                  json_flag(reply, "done"))) {
-        call_event(call, "line-silent", NULL);
+        call_emit_event(call, "line-silent", NULL);
         abandon_leg(call);
         chat_recover(call, true);
         return;
@@ -138,7 +138,7 @@
     if (told) {
         view_succeeded(call->daemon->view, call->backend_id);
         call->probe_failures = 0;
-        call->last_us = time_mono_us();
+        call->last_activity_us = time_mono_us();
         return;
     }
     call->probe_failures++;
@@ -149,7 +149,7 @@
         view_failed(call->daemon->view, call->backend_id, time_mono_ms());
     }
     if (unknown_there || call->probe_failures >= PROBE_FAILURES_MAX) {
-        call_event(call, "server-silent", NULL);
+        call_emit_event(call, "server-silent", NULL);
         call->may_have_run = true;
         abandon_leg(call);
         chat_recover(call, false);
@@ -163,7 +163,7 @@
     call_t *call = probe->call;
     (void)pthread_mutex_lock(&call->lock);
     call->probing = false;
-    if (probe->leg == call->leg && call->phase != CALL_ENDED) {
+    if (probe->leg == call->attempt_number && call->phase != CALL_ENDED) {
         probe_judge(call, probe, end, status);
     }
     (void)pthread_mutex_unlock(&call->lock);
@@ -180,7 +180,7 @@
     call_hold(call);
     call->probing = true;
     probe->call = call;
-    probe->leg = call->leg;
+    probe->leg = call->attempt_number;
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?status=1",
                    call->addr, call->stream_id);
     http_call_t ask = {.method = "GET",
@@ -191,12 +191,12 @@
                        .on_data = probe_on_data,
                        .on_end = probe_on_end,
                        .arg = probe};
-    (void)http_client_start(call->daemon->client, &ask);
+    (void)http_client_start(call->daemon->http_client, &ask);
 }
 
 /* Called every few milliseconds for each chat that is with a server. */
 void
-chat_watch(call_t *call, int64_t now_us)
+chat_tick(call_t *call, int64_t now_us)
 {
     LOCK_SCOPE(&call->lock);
     int64_t silence_us = (int64_t)call->daemon->settings.silence_ms * 1000;
@@ -205,11 +205,11 @@
     }
     if (call->retry_at_ms != 0) {
         if (now_us / 1000 >= call->retry_at_ms) {
-            chat_move(call);
+            chat_fail_over(call);
         }
         return;
     }
-    if (!call->probing && now_us - call->last_us > silence_us) {
+    if (!call->probing && now_us - call->last_activity_us > silence_us) {
         probe_start(call);
     }
 }
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -31,7 +31,7 @@
     call_t *call = exchange->call;
     LOCK_SCOPE(&call->lock);
     service_call_t *service = &call->u.service;
-    if (exchange->number != call->leg) {
+    if (exchange->number != call->attempt_number) {
         return;
     }
     if (service->reply.len + len > REPLY_MAX) {
@@ -47,24 +47,25 @@
     exchange_t *exchange = arg;
     call_t *call = exchange->call;
     LOCK_SCOPE(&call->lock);
-    if (exchange->number == call->leg &&
+    if (exchange->number == call->attempt_number &&
         strcasecmp(name, "Content-Type") == 0) {
-        str_copy(call->u.service.reply_type,
-                 sizeof(call->u.service.reply_type), value);
+        str_copy(call->u.service.reply_content_type,
+                 sizeof(call->u.service.reply_content_type), value);
     }
 }
 
 /* Note in the claim log what came of a claimed call.  The call's lock is
  * held. */
 void
-service_record(call_t *call, claim_kind_t kind, int status)
+service_record_outcome(call_t *call, claim_kind_t kind, int status)
 {
     service_call_t *service = &call->u.service;
     if (!service->claimed) {
         return;
     }
     service->claimed = false;
-    claim_op_t *op = claim_op_new(kind, service->key, service->token);
+    claim_op_t *op =
+        claim_op_new(kind, service->claim_key, service->claim_token);
     op->status = status;
     op->deadline_ms = time_mono_ms() + RECORD_WAIT_MS;
     op->ready_ms = time_mono_ms() + CLAIM_RECORD_DELAY_MS;
@@ -81,12 +82,13 @@
 {
     const service_call_t *service = &call->u.service;
     http_req_reply_header(call->req, OUTCOME_HEADER,
-                          outcome_word(OUTCOME_DONE));
-    http_req_reply(
-        call->req, status,
-        service->reply_type[0] == '\0' ? JSON_TYPE : service->reply_type,
-        buf_text(&service->reply), service->reply.len);
-    call_ended(call, OUTCOME_DONE);
+                          outcome_name(OUTCOME_DONE));
+    http_req_reply(call->req, status,
+                   service->reply_content_type[0] == '\0'
+                       ? JSON_TYPE
+                       : service->reply_content_type,
+                   buf_text(&service->reply), service->reply.len);
+    call_end(call, OUTCOME_DONE);
 }
 
 /* The service has run, but its answer cannot be passed on whole. */
@@ -103,11 +105,11 @@
 try_elsewhere(call_t *call, bool sent)
 {
     candidate_t candidate;
-    call_note_tried(call);
-    if (call->attempts < TRIED_MAX && time_mono_ms() < call->deadline_ms &&
+    call_mark_tried(call);
+    if (call->sent_count < TRIED_MAX && time_mono_ms() < call->deadline_ms &&
         dispatch_place(call, &candidate) &&
-        (!sent || retry_budget_spend(&call->daemon->retries))) {
-        service_leg_start(call, &candidate);
+        (!sent || retry_budget_spend(&call->daemon->retry_budget))) {
+        service_attempt_start(call, &candidate);
         return;
     }
     if (call->may_have_run) {
@@ -115,7 +117,7 @@
                   "the service broke the connection; it may have run");
         return;
     }
-    call_refuse(call, 503, "unreachable", 1,
+    call_reject(call, 503, "unreachable", 1,
                 "no server of the service could be reached");
 }
 
@@ -123,10 +125,10 @@
 ended(call_t *call, http_end_t end, int status)
 {
     const service_call_t *service = &call->u.service;
-    call_uncount(call);
+    call_remove_from_view(call);
     if (end == HTTP_END_WHOLE) {
         view_succeeded(call->daemon->view, call->backend_id);
-        service_record(call, CLAIM_OP_DONE, status);
+        service_record_outcome(call, CLAIM_OP_DONE, status);
         if (service->overflow) {
             answer_too_long(call);
             return;
@@ -153,7 +155,8 @@
     call_t *call = exchange->call;
     celeryspoold_t *daemon = call->daemon;
     (void)pthread_mutex_lock(&call->lock);
-    if (exchange->number == call->leg && call->phase != CALL_ENDED) {
+    if (exchange->number == call->attempt_number &&
+        call->phase != CALL_ENDED) {
         ended(call, end, status);
     }
     (void)pthread_mutex_unlock(&call->lock);
@@ -166,16 +169,18 @@
 launch(call_t *call)
 {
     CLEAN_BUF buf_t url = {0};
-    char type[sizeof(call->u.service.type) + 16];
+    char type[sizeof(call->u.service.content_type) + 16];
     service_call_t *service = &call->u.service;
     exchange_t *exchange = mem_zalloc(sizeof(*exchange));
     call_hold(call);
     exchange->call = call;
-    exchange->number = ++call->leg;
+    exchange->number = ++call->attempt_number;
     int64_t left = call->deadline_ms - time_mono_ms();
-    buf_fmt(&url, "http://%s%s", call->addr, buf_text(&service->target));
-    (void)snprintf(type, sizeof(type), "Content-Type: %s",
-                   service->type[0] == '\0' ? JSON_TYPE : service->type);
+    buf_fmt(&url, "http://%s%s", call->addr,
+            buf_text(&service->request_target));
+    (void)snprintf(
+        type, sizeof(type), "Content-Type: %s",
+        service->content_type[0] == '\0' ? JSON_TYPE : service->content_type);
     http_call_t ask = {.method = service->method,
                        .url = buf_text(&url),
                        .connect_ms = CONNECT_MS,
@@ -190,35 +195,35 @@
         ask.body_len = service->body.len;
     }
     ask.headers[0] = type;
-    call->xfer = http_client_start(call->daemon->client, &ask);
+    call->xfer = http_client_start(call->daemon->http_client, &ask);
 }
 
 /* Send a service call to the chosen server.  The call's lock is held. */
 void
-service_leg_start(call_t *call, const candidate_t *candidate)
+service_attempt_start(call_t *call, const candidate_t *candidate)
 {
     /* The last step before the call leaves: a host that was frozen since the
      * claim may find that its caller's time is over. */
     if (time_mono_ms() >= call->deadline_ms) {
-        call_refuse(call, 504, "deadline", 1,
+        call_reject(call, 504, "deadline", 1,
                     "the deadline passed before the call was sent");
         return;
     }
     call->backend_id = candidate->id;
-    call->attempts++;
+    call->sent_count++;
     call->phase = CALL_SENT;
     call->sent_us = time_mono_us();
-    call->uncached = 0;
-    call->counted = true;
-    call->started = false;
+    call->uncached_tokens = 0;
+    call->counted_in_view = true;
+    call->first_token_received = false;
     buf_free(&call->u.service.reply);
     view_sent(call->daemon->view, call->backend_id, 0);
-    call_event(call, "placed", call->why);
+    call_emit_event(call, "placed", call->placement_reason);
     event_emit(&(event_t){.kind = "sent",
                           .request = call->id,
                           .workspace = call->workspace,
                           .backend = call->backend,
-                          .sent = call->u.service.token});
+                          .sent = call->u.service.claim_token});
     launch(call);
 }
 
@@ -227,7 +232,7 @@
 {
     http_req_reply_header(call->req, "Idempotent-Replayed", "true");
     http_req_reply_header(call->req, OUTCOME_HEADER,
-                          outcome_word(OUTCOME_DONE));
+                          outcome_name(OUTCOME_DONE));
     if (op->body != NULL) {
         http_req_reply(call->req, op->status, "application/json", op->body,
                        strlen(op->body));
@@ -238,7 +243,7 @@
                       "note", "the answer was too long to be kept");
         http_req_reply_json(call->req, 200, body);
     }
-    call_ended(call, OUTCOME_DONE);
+    call_end(call, OUTCOME_DONE);
 }
 
 /* What the claim log says decides: send, repeat what came of it, or tell
@@ -251,9 +256,9 @@
     switch (op->state) {
         case CLAIM_WON:
             call->u.service.claimed = true;
-            call_event(call, "claimed", NULL);
+            call_emit_event(call, "claimed", NULL);
             (void)pthread_mutex_unlock(&call->lock);
-            dispatch_push(call);
+            dispatch_submit(call);
             call_release(call);
             return;
         case CLAIM_DONE:
@@ -268,7 +273,7 @@
         case CLAIM_UNAVAILABLE:
         case CLAIM_PENDING:
         case CLAIM_RECORDED:
-            call_refuse(call, 503, "claims_unavailable", 2,
+            call_reject(call, 503, "claims_unavailable", 2,
                         "the platform's store cannot be asked now");
             break;
     }
@@ -282,7 +287,7 @@
     service_call_t *service = &call->u.service;
     int64_t now = time_mono_ms();
     claim_op_t *op =
-        claim_op_new(CLAIM_OP_CLAIM, service->key, service->token);
+        claim_op_new(CLAIM_OP_CLAIM, service->claim_key, service->claim_token);
     op->deadline_ms = now + CLAIM_WAIT_MS;
     if (op->deadline_ms > call->deadline_ms) {
         op->deadline_ms = call->deadline_ms;
@@ -315,7 +320,7 @@
     http_req_reply_header(req, "X-Celeryspool-Service", name);
     if (service == NULL || (key != NULL && strlen(key) > KEY_MAX)) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(
             req, service == NULL ? 404 : 400,
             service == NULL ? "unknown_service" : "bad_key",
@@ -327,22 +332,22 @@
     call_t *call = call_new(daemon, req, CALL_SERVICE, workspace, name);
     service_call_t *mine = &call->u.service;
     mine->method = strdup(http_req_method(req));
-    buf_str(&mine->target, from[len] == '\0' ? "/" : "");
-    http_req_target(req, strlen(SERVICES) + len, &mine->target);
-    str_copy(mine->type, sizeof(mine->type),
+    buf_str(&mine->request_target, from[len] == '\0' ? "/" : "");
+    http_req_target(req, strlen(SERVICES) + len, &mine->request_target);
+    str_copy(mine->content_type, sizeof(mine->content_type),
              http_req_header(req, "Content-Type"));
     buf_add(&mine->body, body, body_len);
     mine->idempotent = may_repeat(service, mine->method);
-    call->item.cost = 1;
-    id_random(mine->token);
-    retry_budget_earn(&daemon->retries);
-    call_event(call, "received", key);
+    call->queue_item.cost = 1;
+    id_random(mine->claim_token);
+    retry_budget_earn(&daemon->retry_budget);
+    call_emit_event(call, "received", key);
     if (key != NULL && !mine->idempotent) {
-        claim_key(workspace->name, name, key, mine->key);
+        claim_key(workspace->name, name, key, mine->claim_key);
         claim(call);
     }
     else {
-        dispatch_push(call);
+        dispatch_submit(call);
     }
     call_release(call);
 }
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -30,12 +30,12 @@
     leg_t *leg = mem_zalloc(sizeof(*leg));
     call_hold(call);
     leg->call = call;
-    leg->number = ++call->leg;
+    leg->number = ++call->attempt_number;
     leg->resume = resume;
-    call->started = false;
-    call->last_us = time_mono_us();
+    call->first_token_received = false;
+    call->last_activity_us = time_mono_us();
     call->probe_failures = 0;
-    buf_free(&call->u.chat.sse);
+    buf_free(&call->u.chat.sse_pending);
     return leg;
 }
 
@@ -79,14 +79,15 @@
 static void
 seal_token(call_t *call)
 {
-    resume_t resume = {.ask = call->u.chat.ask};
+    resume_t resume = {.ask = call->u.chat.prompt_hash};
     str_copy(resume.workspace, sizeof(resume.workspace), call->workspace);
     str_copy(resume.backend, sizeof(resume.backend), call->backend);
     str_copy(resume.incarnation, sizeof(resume.incarnation),
              call->incarnation);
     str_copy(resume.stream, sizeof(resume.stream), call->stream_id);
     str_copy(resume.version, sizeof(resume.version), call->version);
-    resume_seal(&resume, call->daemon->settings.secret, call->u.chat.token);
+    resume_seal(&resume, call->daemon->settings.secret,
+                call->u.chat.resume_token);
 }
 
 /* The first thing that a leg brings: open the caller's stream, and learn
@@ -96,18 +97,18 @@
 {
     chat_t *chat = &call->u.chat;
     int64_t now = time_mono_us();
-    if (call->counted && !call->started) {
-        view_first_token(call->daemon->view, call->backend_id, call->uncached,
-                         call->expected_ms,
+    if (call->counted_in_view && !call->first_token_received) {
+        view_first_token(call->daemon->view, call->backend_id,
+                         call->uncached_tokens, call->expected_ttft_ms,
                          (double)(now - call->sent_us) / 1e3);
         view_succeeded(call->daemon->view, call->backend_id);
     }
-    call->started = true;
+    call->first_token_received = true;
     seal_token(call);
     if (call->phase != CALL_STREAMING) {
         call->phase = CALL_STREAMING;
-        series_observe(call->series, METRIC_TTFT, now - call->began_us);
-        call_event(call, "first-token", NULL);
+        series_observe(call->series, METRIC_TTFT, now - call->received_us);
+        call_emit_event(call, "first-token", NULL);
         if (chat->stream) {
             http_req_stream(call->req, 200, "text/event-stream");
         }
@@ -120,9 +121,9 @@
 emit(call_t *call, const char *data, size_t len)
 {
     chat_t *chat = &call->u.chat;
-    buf_t *out = &chat->out;
+    buf_t *out = &chat->event_out;
     out->len = 0;
-    buf_fmt(out, "id: %s.%u\n", chat->token, chat->emitted);
+    buf_fmt(out, "id: %s.%u\n", chat->resume_token, chat->emitted);
     buf_add(out, data, len);
     buf_add(out, "\n\n", 2);
     http_req_write(call->req, buf_text(out), out->len);
@@ -151,7 +152,7 @@
     const char *data = line + sizeof(mark) - 1;
     size_t data_len = len - (sizeof(mark) - 1);
     if (data_len == 6 && memcmp(data, "[DONE]", 6) == 0) {
-        chat->finished = !chat->gap;
+        chat->finished = !chat->has_gap;
         return;
     }
     CLEAN_JSON json_t *event = json_loadb(data, data_len, 0, NULL);
@@ -166,16 +167,16 @@
     int64_t index = json_int(event, "token_index", chat->emitted);
     /* Tokens that the caller has already are passed over; one that is ahead
      * means that some are missing, and the answer must not look whole. */
-    chat->gap = chat->gap || index > (int64_t)chat->emitted;
+    chat->has_gap = chat->has_gap || index > (int64_t)chat->emitted;
     if (index != (int64_t)chat->emitted) {
         return;
     }
-    if (!call->started) {
+    if (!call->first_token_received) {
         note_start(call);
     }
     else {
         series_observe(call->series, METRIC_GAP,
-                       time_mono_us() - call->last_us);
+                       time_mono_us() - call->last_activity_us);
     }
     chat->emitted++;
     buf_str(&chat->text, content);
@@ -186,22 +187,22 @@
 
 /* Take upstream bytes, event by event. */
 void
-chat_take(call_t *call, const char *data, size_t len)
+chat_feed(call_t *call, const char *data, size_t len)
 {
     chat_t *chat = &call->u.chat;
-    buf_add(&chat->sse, data, len);
+    buf_add(&chat->sse_pending, data, len);
     size_t at = 0;
     for (;;) {
-        char *from = chat->sse.data + at;
-        char *end = memmem(from, chat->sse.len - at, "\n\n", 2);
+        char *from = chat->sse_pending.data + at;
+        char *end = memmem(from, chat->sse_pending.len - at, "\n\n", 2);
         if (end == NULL) {
             break;
         }
         take_event(call, from, (size_t)(end - from));
         at += (size_t)(end - from) + 2;
     }
-    buf_drop(&chat->sse, at);
-    call->last_us = time_mono_us();
+    buf_drop(&chat->sse_pending, at);
+    call->last_activity_us = time_mono_us();
 }
 
 static void
@@ -210,7 +211,7 @@
     leg_t *leg = arg;
     call_t *call = leg->call;
     LOCK_SCOPE(&call->lock);
-    if (leg->number != call->leg || call->phase == CALL_ENDED) {
+    if (leg->number != call->attempt_number || call->phase == CALL_ENDED) {
         return;
     }
     if (status != 200) {
@@ -225,11 +226,11 @@
     if (leg->wrong) {
         return;
     }
-    chat_take(call, data, len);
+    chat_feed(call, data, len);
     if (http_req_gone(call->req) ||
         http_req_backlog(call->req) > BACKLOG_MAX) {
-        call_event(call, "caller-gone", NULL);
-        http_client_cancel(call->daemon->client, call->xfer);
+        call_emit_event(call, "caller-gone", NULL);
+        http_client_cancel(call->daemon->http_client, call->xfer);
         call_fail(call, 499, "caller_gone", OUTCOME_UNKNOWN,
                   "the caller does not read");
     }
@@ -248,8 +249,8 @@
         if (cache_map_note(daemon->cache, call->backend_id, level->key,
                            level->tokens) &&
             shared) {
-            peer_tell_cached(daemon->peer, call->backend, level->key,
-                             level->tokens, true);
+            peer_announce_cached(daemon->peer, call->backend, level->key,
+                                 level->tokens, true);
         }
     }
 }
@@ -275,14 +276,14 @@
 leg_refused(call_t *call, const leg_t *leg, int status)
 {
     celeryspoold_t *daemon = call->daemon;
-    call_event(call, "leg-refused", buf_text(&leg->error));
-    call_uncount(call);
+    call_emit_event(call, "leg-refused", buf_text(&leg->error));
+    call_remove_from_view(call);
     bool other_weights = status == 409 && leg->version[0] != '\0';
     if (other_weights) {
         view_version(daemon->view, call->backend_id, leg->version);
         cache_map_forget(daemon->cache, call->backend_id);
     }
-    chat_redirect(call, other_weights);
+    chat_place_again(call, other_weights);
 }
 
 /* A leg ended without the end of the answer. */
@@ -303,13 +304,13 @@
         view_failed(call->daemon->view, call->backend_id, time_mono_ms());
     }
     call->may_have_run = call->may_have_run || end != HTTP_END_UNSENT;
-    call_event(call, "leg-broke",
-               end == HTTP_END_UNSENT ? "unreachable"
-               : answered             ? "refused"
-                                      : "cut");
-    call_uncount(call);
-    bool resumable =
-        !leg->resume && !leg->wrong && end == HTTP_END_CUT && call->started;
+    call_emit_event(call, "leg-broke",
+                    end == HTTP_END_UNSENT ? "unreachable"
+                    : answered             ? "refused"
+                                           : "cut");
+    call_remove_from_view(call);
+    bool resumable = !leg->resume && !leg->wrong && end == HTTP_END_CUT &&
+                     call->first_token_received;
     chat_recover(call, resumable);
 }
 
@@ -320,7 +321,7 @@
     call_t *call = leg->call;
     celeryspoold_t *daemon = call->daemon;
     (void)pthread_mutex_lock(&call->lock);
-    if (leg->number == call->leg && call->phase != CALL_ENDED) {
+    if (leg->number == call->attempt_number && call->phase != CALL_ENDED) {
         if (call->u.chat.finished) {
             learn(call);
             chat_finish(call);
@@ -340,7 +341,7 @@
 static int
 engine_priority(const call_t *call)
 {
-    return call->priority * 2 + (call->item.first ? 1 : 0);
+    return call->priority * 2 + (call->queue_item.first ? 1 : 0);
 }
 
 /* The body for an engine: the caller's, with what is ours added, and behind
@@ -384,32 +385,32 @@
                        .arg = leg};
     ask.headers[0] = "Content-Type: application/json";
     ask.headers[1] = "Accept: text/event-stream";
-    call->xfer = http_client_start(call->daemon->client, &ask);
+    call->xfer = http_client_start(call->daemon->http_client, &ask);
 }
 
 /* Send a chat to the chosen server.  The call's lock is held. */
 void
-chat_leg_start(call_t *call, const candidate_t *candidate)
+chat_attempt_start(call_t *call, const candidate_t *candidate)
 {
     char url[CS_ADDR_MAX + 64];
     const chat_t *chat = &call->u.chat;
     leg_t *leg = leg_new(call, false);
     call->backend_id = candidate->id;
-    call->attempts++;
+    call->sent_count++;
     call->sent_us = time_mono_us();
-    call->uncached = chat->prefix.tokens > candidate->cached
-                         ? chat->prefix.tokens - candidate->cached
-                         : 0;
-    call->expected_ms =
+    call->uncached_tokens = chat->prefix.tokens > candidate->cached
+                                ? chat->prefix.tokens - candidate->cached
+                                : 0;
+    call->expected_ttft_ms =
         candidate->wait_ms + place_recompute_ms(candidate, &chat->prefix);
     call->phase = chat->emitted > 0 ? call->phase : CALL_SENT;
-    call->counted = true;
-    view_sent(call->daemon->view, call->backend_id, call->uncached);
+    call->counted_in_view = true;
+    view_sent(call->daemon->view, call->backend_id, call->uncached_tokens);
     /* The server will hold these levels once it has begun, so requests that
      * come right behind should go there too. */
     learn(call);
     id_random(call->stream_id);
-    call_event(call, "placed", call->why);
+    call_emit_event(call, "placed", call->placement_reason);
     event_emit(&(event_t){.kind = "sent",
                           .request = call->id,
                           .workspace = call->workspace,
@@ -424,14 +425,14 @@
 /* Go on with the stream at the same server, on a new connection.  The call's
  * lock is held. */
 void
-chat_resume_leg(call_t *call)
+chat_attempt_resume(call_t *call)
 {
     char url[CS_ADDR_MAX + 128];
     leg_t *leg = leg_new(call, true);
     /* From now on the stream is watched, also if its server is frozen. */
     call->phase = call->phase == CALL_QUEUED ? CALL_SENT : call->phase;
     series_count(call->series, METRIC_RESUMED, 1);
-    call_event(call, "resumed", NULL);
+    call_emit_event(call, "resumed", NULL);
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?offset=%u",
                    call->addr, call->stream_id, call->u.chat.emitted);
     leg_launch(call, leg, "GET", url, NULL);
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -11,7 +11,7 @@
 
 /* The word for an outcome in headers, events and final stream events. */
 const char *
-outcome_word(outcome_t outcome)
+outcome_name(outcome_t outcome)
 {
     static const char *const words[] = {"done", "not_run", "unknown"};
     return words[outcome];
@@ -19,7 +19,7 @@
 
 /* How long a caller waits, in ms; -1 for a header that is not allowed. */
 long
-call_deadline_span(http_req_t *req)
+call_timeout_ms(http_req_t *req)
 {
     const char *header = http_req_header(req, "X-Deadline-Ms");
     char *end;
@@ -45,18 +45,18 @@
     call->req = req;
     call->kind = kind;
     call->priority = workspace->priority;
-    call->began_us = time_mono_us();
-    call->last_us = call->began_us;
-    call->deadline_ms = time_mono_ms() + call_deadline_span(req);
+    call->received_us = time_mono_us();
+    call->last_activity_us = call->received_us;
+    call->deadline_ms = time_mono_ms() + call_timeout_ms(req);
     id_random(call->id);
     str_copy(call->workspace, sizeof(call->workspace), workspace->name);
     str_copy(call->target, sizeof(call->target), target);
     call->series = metrics_series(daemon->metrics, workspace->name, target);
-    str_copy(call->item.workspace, sizeof(call->item.workspace),
+    str_copy(call->queue_item.workspace, sizeof(call->queue_item.workspace),
              workspace->name);
-    call->item.share = workspace->share;
-    call->item.deadline_ms = call->deadline_ms;
-    call->item.owner = call;
+    call->queue_item.share = workspace->share;
+    call->queue_item.deadline_ms = call->deadline_ms;
+    call->queue_item.owner = call;
     http_req_hold(req);
     http_req_reply_header(req, REQUEST_HEADER, call->id);
     LOCK_SCOPE(&daemon->calls_lock);
@@ -79,12 +79,12 @@
         case CALL_CHAT:
             json_decref(call->u.chat.body);
             buf_free(&call->u.chat.text);
-            buf_free(&call->u.chat.sse);
-            buf_free(&call->u.chat.out);
+            buf_free(&call->u.chat.sse_pending);
+            buf_free(&call->u.chat.event_out);
             break;
         case CALL_SERVICE:
             free(call->u.service.method);
-            buf_free(&call->u.service.target);
+            buf_free(&call->u.service.request_target);
             buf_free(&call->u.service.body);
             buf_free(&call->u.service.reply);
             break;
@@ -105,7 +105,7 @@
 
 /* Write an event of this call. */
 void
-call_event(call_t *call, const char *kind, const char *detail)
+call_emit_event(call_t *call, const char *kind, const char *detail)
 {
     event_emit(&(event_t){.kind = kind,
                           .request = call->id,
@@ -116,19 +116,19 @@
 
 /* Take the current leg out of the view. */
 void
-call_uncount(call_t *call)
+call_remove_from_view(call_t *call)
 {
-    if (call->counted) {
-        call->counted = false;
-        view_ended(call->daemon->view, call->backend_id, call->started,
-                   call->uncached);
+    if (call->counted_in_view) {
+        call->counted_in_view = false;
+        view_ended(call->daemon->view, call->backend_id,
+                   call->first_token_received, call->uncached_tokens);
     }
 }
 
 static bool
 was_tried(const call_t *call, const char *name)
 {
-    for (unsigned i = 0; i < call->tried && i < TRIED_MAX; i++) {
+    for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
         if (strcmp(call->tried_names[i], name) == 0) {
             return true;
         }
@@ -138,22 +138,22 @@
 
 /* Remember the present server as tried, so that it is avoided next. */
 void
-call_note_tried(call_t *call)
+call_mark_tried(call_t *call)
 {
     if (call->backend[0] == '\0' || was_tried(call, call->backend)) {
         return;
     }
-    str_copy(call->tried_names[call->tried % TRIED_MAX], CS_NAME_MAX,
+    str_copy(call->tried_names[call->tried_count % TRIED_MAX], CS_NAME_MAX,
              call->backend);
-    if (call->tried < TRIED_MAX) {
-        call->tried++;
+    if (call->tried_count < TRIED_MAX) {
+        call->tried_count++;
     }
 }
 
 /* The call has its answer: count it and take it off the list.  The call's
  * lock is held; a second end is ignored, so each request is answered once. */
 void
-call_ended(call_t *call, outcome_t outcome)
+call_end(call_t *call, outcome_t outcome)
 {
     static const metric_counter_t counters[] = {METRIC_DONE, METRIC_NOT_RUN,
                                                 METRIC_UNKNOWN};
@@ -161,11 +161,11 @@
     if (call->phase == CALL_ENDED) {
         return;
     }
-    call_uncount(call);
+    call_remove_from_view(call);
     call->phase = CALL_ENDED;
-    call->leg++;
+    call->attempt_number++;
     series_count(call->series, counters[outcome], 1);
-    call_event(call, "ended", outcome_word(outcome));
+    call_emit_event(call, "ended", outcome_name(outcome));
     (void)pthread_mutex_lock(&daemon->calls_lock);
     CK_LIST_REMOVE(call, entry);
     daemon->call_count--;
@@ -178,7 +178,7 @@
            const char *text)
 {
     return json_pack("{s:{s:s,s:s},s:s,s:s}", "error", "code", code, "message",
-                     text, "outcome", outcome_word(outcome), "request",
+                     text, "outcome", outcome_name(outcome), "request",
                      call->id);
 }
 
@@ -203,8 +203,8 @@
         return;
     }
     CLEAN_JSON json_t *body = error_body(call, code, outcome, text);
-    call_event(call, "failed", text);
-    http_req_reply_header(call->req, OUTCOME_HEADER, outcome_word(outcome));
+    call_emit_event(call, "failed", text);
+    http_req_reply_header(call->req, OUTCOME_HEADER, outcome_name(outcome));
     if (call->kind == CALL_CHAT && call->u.chat.stream &&
         call->phase == CALL_STREAMING) {
         fail_stream(call, body);
@@ -212,7 +212,7 @@
     else {
         http_req_reply_json(call->req, status, body);
     }
-    call_ended(call, outcome);
+    call_end(call, outcome);
 }
 
 /* What a call that is given up on before any answer came to. */
@@ -225,14 +225,14 @@
 /* Refuse a call at once, saying when to come back.  It did not run, unless an
  * earlier leg of it may have. */
 void
-call_refuse(call_t *call, int status, const char *code, int retry_after_s,
+call_reject(call_t *call, int status, const char *code, int retry_after_s,
             const char *text)
 {
     char seconds[16];
     (void)snprintf(seconds, sizeof(seconds), "%d", retry_after_s);
     http_req_reply_header(call->req, "Retry-After", seconds);
     if (call->kind == CALL_SERVICE && !call->may_have_run) {
-        service_record(call, CLAIM_OP_NOT_RUN, 0);
+        service_record_outcome(call, CLAIM_OP_NOT_RUN, 0);
     }
     series_count(call->series, METRIC_REFUSED, 1);
     call_fail(call, status, code, call_outcome_so_far(call), text);
@@ -248,7 +248,7 @@
 
 /* One row a running call, for the query language. */
 json_t *
-calls_rows(celeryspoold_t *daemon)
+calls_to_json(celeryspoold_t *daemon)
 {
     int64_t now = time_mono_us();
     json_t *rows = json_array();
@@ -261,7 +261,7 @@
                 "{s:s,s:s,s:s,s:s,s:s,s:I,s:I}", "request", call->id,
                 "workspace", call->workspace, "target", call->target, "phase",
                 phase_word(call->phase), "backend", call->backend, "age_ms",
-                (json_int_t)((now - call->began_us) / 1000), "tokens",
+                (json_int_t)((now - call->received_us) / 1000), "tokens",
                 (json_int_t)(call->kind == CALL_CHAT ? call->u.chat.emitted
                                                      : 0)));
     }
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -24,7 +24,7 @@
 swap_if_newer(celeryspoold_t *daemon, config_t *fresh, int64_t version)
 {
     LOCK_SCOPE(&daemon->config_lock);
-    daemon->config_heard_ms = time_mono_ms();
+    daemon->config_confirmed_ms = time_mono_ms();
     if (version > daemon->config_version) {
         daemon->config_version = version;
     }
@@ -66,7 +66,7 @@
 heard(celeryspoold_t *daemon)
 {
     LOCK_SCOPE(&daemon->config_lock);
-    daemon->config_heard_ms = time_mono_ms();
+    daemon->config_confirmed_ms = time_mono_ms();
 }
 
 static void
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -36,11 +36,11 @@
     str_copy(self.peer, sizeof(self.peer), settings->peer);
     str_copy(self.http, sizeof(self.http), settings->http);
     (void)pthread_mutex_init(&daemon->config_lock, NULL);
-    (void)pthread_mutex_init(&daemon->lanes_lock, NULL);
+    (void)pthread_mutex_init(&daemon->queues_lock, NULL);
     (void)pthread_mutex_init(&daemon->calls_lock, NULL);
     daemon->config = config_parse(doc, &err);
-    daemon->config_heard_ms = time_mono_ms();
-    retry_budget_init(&daemon->retries);
+    daemon->config_confirmed_ms = time_mono_ms();
+    retry_budget_init(&daemon->retry_budget);
     daemon->view = view_new();
     daemon->cache = cache_map_new(CACHE_ENTRIES);
     daemon->members =
@@ -55,9 +55,9 @@
 init_edges(celeryspoold_t *daemon)
 {
     const settings_t *settings = &daemon->settings;
-    daemon->client = http_client_new((unsigned)settings->relay_threads);
-    daemon->store =
-        store_new(daemon->client, settings->store, settings->store_timeout_ms);
+    daemon->http_client = http_client_new((unsigned)settings->relay_threads);
+    daemon->store = store_new(daemon->http_client, settings->store,
+                              settings->store_timeout_ms);
     daemon->claims = claim_log_new(daemon->store, CLAIM_SHARDS);
     daemon->pool = pool_new(POOL_THREADS);
 }
@@ -80,7 +80,7 @@
     }
     (void)pthread_mutex_unlock(&daemon->calls_lock);
     for (size_t i = 0; i < count; i++) {
-        chat_watch(calls[i], now);
+        chat_tick(calls[i], now);
         call_release(calls[i]);
     }
     free(calls);
@@ -100,13 +100,13 @@
     int64_t theirs = members_generation(daemon->members, peer);
     if (theirs >= 0) {
         (void)pthread_mutex_lock(&daemon->config_lock);
-        daemon->config_heard_ms = time_mono_ms();
+        daemon->config_confirmed_ms = time_mono_ms();
         (void)pthread_mutex_unlock(&daemon->config_lock);
     }
     if (theirs <= mine) {
         return;
     }
-    CLEAN_JSON json_t *doc = peer_ask(peer, "config", PEER_PULL_MS, &err);
+    CLEAN_JSON json_t *doc = peer_fetch(peer, "config", PEER_PULL_MS, &err);
     if (doc != NULL) {
         (void)config_sync_adopt(daemon, doc, 0, peer);
     }
@@ -143,14 +143,14 @@
 {
     daemon_set_state(daemon, STATE_LEAVING);
     log_info("daemon", "Leaving; %zu requests are running.",
-             daemon_running(daemon));
+             daemon_call_count(daemon));
     event_emit(&(event_t){.kind = "daemon-leaving"});
 }
 
 static bool
 stop_is_ordered(celeryspoold_t *daemon)
 {
-    return __atomic_load_n(&daemon->stop_ordered, __ATOMIC_ACQUIRE);
+    return __atomic_load_n(&daemon->stop_requested, __ATOMIC_ACQUIRE);
 }
 
 /* A window of this host or its data centre: leave the balancer one longest
@@ -166,11 +166,12 @@
                          time_wall_ms(), config_longest_ms(config));
     config_release(config);
     if (!clear && daemon_state(daemon) == STATE_READY) {
-        daemon->left_for_window = true;
+        daemon->draining_for_window = true;
         begin_leaving(daemon);
     }
-    else if (clear && daemon->left_for_window && !stop_is_ordered(daemon)) {
-        daemon->left_for_window = false;
+    else if (clear && daemon->draining_for_window &&
+             !stop_is_ordered(daemon)) {
+        daemon->draining_for_window = false;
         daemon_set_state(daemon, STATE_READY);
         log_info("daemon", "The window is over; ready again.");
         if (stop_is_ordered(daemon)) {
@@ -216,10 +217,11 @@
         return err_wrap(err, ERR_SETTINGS, 0, "peers cannot be served");
     }
     snapshot_warm(daemon);
-    (void)pthread_create(&daemon->ticker, NULL, ticker_run, daemon);
-    (void)pthread_create(&daemon->feeder, NULL, feed_run, daemon);
-    (void)pthread_create(&daemon->watcher, NULL, config_sync_run, daemon);
-    (void)pthread_create(&daemon->orderer, NULL, order_run, daemon);
+    (void)pthread_create(&daemon->tick_thread, NULL, ticker_run, daemon);
+    (void)pthread_create(&daemon->feed_thread, NULL, feed_run, daemon);
+    (void)pthread_create(&daemon->config_thread, NULL, config_sync_run,
+                         daemon);
+    (void)pthread_create(&daemon->order_thread, NULL, order_run, daemon);
     http_server_opts_t opts = {
         .addr = settings->http,
         .threads = (unsigned)settings->http_threads,
@@ -228,8 +230,8 @@
         .idle_seconds = (unsigned)settings->idle_seconds,
         .handler = route_handle,
         .arg = daemon};
-    daemon->server = http_server_start(&opts, err);
-    return daemon->server == NULL
+    daemon->http_server = http_server_start(&opts, err);
+    return daemon->http_server == NULL
                ? err_wrap(err, ERR_SETTINGS, 0, "callers cannot be served")
                : 0;
 }
@@ -262,7 +264,7 @@
 
 /* Requests that have no final answer yet. */
 size_t
-daemon_running(celeryspoold_t *daemon)
+daemon_call_count(celeryspoold_t *daemon)
 {
     LOCK_SCOPE(&daemon->calls_lock);
     return daemon->call_count;
@@ -270,11 +272,11 @@
 
 /* A stop was ordered.  Said again, it only tells what a stop now would cut. */
 void
-daemon_leave(celeryspoold_t *daemon)
+daemon_drain(celeryspoold_t *daemon)
 {
-    if (__atomic_exchange_n(&daemon->stop_ordered, true, __ATOMIC_ACQ_REL)) {
+    if (__atomic_exchange_n(&daemon->stop_requested, true, __ATOMIC_ACQ_REL)) {
         log_warn("daemon", "%zu requests would be cut by a stop now.",
-                 daemon_running(daemon));
+                 daemon_call_count(daemon));
         return;
     }
     begin_leaving(daemon);
@@ -282,24 +284,24 @@
 
 /* Whether no request is left. */
 bool
-daemon_left(celeryspoold_t *daemon)
+daemon_is_drained(celeryspoold_t *daemon)
 {
-    return daemon_running(daemon) == 0;
+    return daemon_call_count(daemon) == 0;
 }
 
 /* Stop and free everything; the callers have been served before. */
 void
 daemon_stop(celeryspoold_t *daemon)
 {
-    http_server_quiesce(daemon->server);
+    http_server_quiesce(daemon->http_server);
     __atomic_store_n(&daemon->stopping, true, __ATOMIC_RELEASE);
-    (void)pthread_join(daemon->ticker, NULL);
-    (void)pthread_join(daemon->feeder, NULL);
-    (void)pthread_join(daemon->watcher, NULL);
-    (void)pthread_join(daemon->orderer, NULL);
+    (void)pthread_join(daemon->tick_thread, NULL);
+    (void)pthread_join(daemon->feed_thread, NULL);
+    (void)pthread_join(daemon->config_thread, NULL);
+    (void)pthread_join(daemon->order_thread, NULL);
     pool_free(daemon->pool);
-    http_client_free(daemon->client);
-    http_server_stop(daemon->server);
+    http_client_free(daemon->http_client);
+    http_server_stop(daemon->http_server);
     peer_stop(daemon->peer);
     claim_log_free(daemon->claims);
     store_free(daemon->store);
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -34,8 +34,8 @@
 /* Take a load report in, from the server itself or from a peer.  Another
  * incarnation or version means that its cache is gone. */
 void
-feed_take_load(celeryspoold_t *daemon, const char *backend,
-               const load_report_t *report)
+feed_apply_load(celeryspoold_t *daemon, const char *backend,
+                const load_report_t *report)
 {
     uint16_t id = view_id(daemon->view, backend);
     if (view_report(daemon->view, id, report, time_mono_ms())) {
@@ -72,7 +72,7 @@
     if (view_get(daemon->view, id, &state) &&
         worth_telling(&state, report, now)) {
         view_told(daemon->view, id, report, now);
-        peer_tell_load(daemon->peer, backend, report);
+        peer_announce_load(daemon->peer, backend, report);
     }
 }
 
@@ -93,7 +93,7 @@
     }
     str_copy(report.incarnation, sizeof(report.incarnation), incarnation);
     str_copy(report.version, sizeof(report.version), version);
-    feed_take_load(daemon, backend, &report);
+    feed_apply_load(daemon, backend, &report);
     tell_load(daemon, backend, &report);
 }
 
@@ -110,7 +110,7 @@
     news = stored ? cache_map_note(daemon->cache, id, key, 0)
                   : cache_map_drop(daemon->cache, id, key);
     if (news) {
-        peer_tell_cached(daemon->peer, backend, key, 0, stored);
+        peer_announce_cached(daemon->peer, backend, key, 0, stored);
     }
 }
 
@@ -176,7 +176,7 @@
                         .on_data = on_data,
                         .on_end = on_end,
                         .arg = feed};
-    (void)http_client_start(daemon->client, &call);
+    (void)http_client_start(daemon->http_client, &call);
 }
 
 static void
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -95,7 +95,7 @@
 {
     uint16_t id = view_id(daemon->view, fact->backend);
     if (fact->is_load) {
-        feed_take_load(daemon, fact->backend, &fact->load);
+        feed_apply_load(daemon, fact->backend, &fact->load);
     }
     else if (fact->held) {
         (void)cache_map_note(daemon->cache, id, fact->key, fact->tokens);
@@ -283,7 +283,7 @@
         return doc;
     }
     if (strcmp(kind, "requests") == 0) {
-        return calls_rows(daemon);
+        return calls_to_json(daemon);
     }
     return json_pack("{s:s}", "error", "unknown question");
 }
@@ -323,7 +323,7 @@
 
 /* Ask a peer: "config", "snapshot" or "requests"; NULL with an error. */
 json_t *
-peer_ask(const char *addr, const char *what, int timeout_ms, err_t *err)
+peer_fetch(const char *addr, const char *what, int timeout_ms, err_t *err)
 {
     struct sockaddr_in at;
     char kind[32];
@@ -391,7 +391,8 @@
 
 /* Pass a load report on with the next datagram. */
 void
-peer_tell_load(peer_t *peer, const char *backend, const load_report_t *report)
+peer_announce_load(peer_t *peer, const char *backend,
+                   const load_report_t *report)
 {
     peer_fact_t fact = {.is_load = true, .load = *report};
     str_copy(fact.backend, sizeof(fact.backend), backend);
@@ -400,8 +401,8 @@
 
 /* Pass on that a server holds a level, or no longer does. */
 void
-peer_tell_cached(peer_t *peer, const char *backend, uint64_t key,
-                 uint32_t tokens, bool held)
+peer_announce_cached(peer_t *peer, const char *backend, uint64_t key,
+                     uint32_t tokens, bool held)
 {
     peer_fact_t fact = {.key = key, .tokens = tokens, .held = held};
     str_copy(fact.backend, sizeof(fact.backend), backend);
@@ -457,7 +458,7 @@
 
 /* Bytes of datagrams so far. */
 void
-peer_bytes(const peer_t *peer, uint64_t *sent, uint64_t *received)
+peer_byte_counts(const peer_t *peer, uint64_t *sent, uint64_t *received)
 {
     *sent = __atomic_load_n(&peer->bytes_sent, __ATOMIC_RELAXED);
     *received = __atomic_load_n(&peer->bytes_received, __ATOMIC_RELAXED);
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -27,13 +27,13 @@
     }
     if (workspace == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 401, "no_workspace",
                              "a workspace's bearer key is needed");
     }
-    else if (call_deadline_span(req) < 0) {
+    else if (call_timeout_ms(req) < 0) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 400, "bad_request",
                              "X-Deadline-Ms is not a whole number from 1 to "
                              "%d",
@@ -69,7 +69,7 @@
 not_ready(celeryspoold_t *daemon)
 {
     LOCK_SCOPE(&daemon->config_lock);
-    int64_t unheard = time_mono_ms() - daemon->config_heard_ms;
+    int64_t unheard = time_mono_ms() - daemon->config_confirmed_ms;
     switch (daemon_state(daemon)) {
         case STATE_WARMING:
             return "warming";
@@ -102,14 +102,15 @@
     config_t *config = daemon_config(daemon);
     metrics_text(daemon->metrics, &text);
     metrics_gauge(&text, "config_generation", (double)config->generation);
-    metrics_gauge(&text, "calls_running", (double)daemon_running(daemon));
-    metrics_gauge(&text, "calls_waiting", (double)dispatch_waiting(daemon));
+    metrics_gauge(&text, "calls_running", (double)daemon_call_count(daemon));
+    metrics_gauge(&text, "calls_waiting",
+                  (double)dispatch_waiting_count(daemon));
     metrics_gauge(&text, "members_live",
                   (double)members_live(daemon->members));
     metrics_gauge(&text, "cache_map_entries",
                   (double)cache_map_size(daemon->cache));
     metrics_gauge(&text, "store_calls", (double)store_calls(daemon->store));
-    peer_bytes(daemon->peer, &sent, &received);
+    peer_byte_counts(daemon->peer, &sent, &received);
     metrics_gauge(&text, "peer_bytes_sent", (double)sent);
     metrics_gauge(&text, "peer_bytes_received", (double)received);
     metrics_gauge(&text, "claim_writes",
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -76,7 +76,7 @@
     }
     str_copy(report.incarnation, sizeof(report.incarnation), incarnation);
     str_copy(report.version, sizeof(report.version), version);
-    feed_take_load(daemon, name, &report);
+    feed_apply_load(daemon, name, &report);
 }
 
 static void
@@ -137,7 +137,7 @@
             continue;
         }
         CLEAN_JSON json_t *snapshot =
-            peer_ask(settings->seeds[i], "snapshot", ASK_TIMEOUT_MS, &err);
+            peer_fetch(settings->seeds[i], "snapshot", ASK_TIMEOUT_MS, &err);
         if (snapshot == NULL) {
             continue;
         }
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -34,7 +34,7 @@
     }
     backend_state_t state = {0};
     (void)view_get(daemon->view, view_id(daemon->view, backend->name), &state);
-    json_t *running = calls_rows(daemon);
+    json_t *running = calls_to_json(daemon);
     for (size_t i = json_array_size(running); i > 0; i--) {
         const char *at = json_text(json_array_get(running, i - 1), "backend");
         if (at == NULL || strcmp(at, backend->name) != 0) {
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -160,7 +160,7 @@
     {"backends", show_backends}, {"cached", show_cached},
     {"changes", show_changes},   {"members", show_members},
     {"models", show_models},     {"operators", show_operators},
-    {"policies", show_policies}, {"requests", calls_rows},
+    {"policies", show_policies}, {"requests", calls_to_json},
     {"services", show_services}, {"traffic", show_traffic},
     {"windows", show_windows},   {"workspaces", show_workspaces},
 };
--- a/tests/test-command.c
+++ b/tests/test-command.c
@@ -118,7 +118,7 @@
 {
     static char out[400];
     err_t err = {0};
-    json_t *body = chat_body_read(text, strlen(text), &err);
+    json_t *body = chat_body_parse(text, strlen(text), &err);
     str_copy(out, sizeof(out), body == NULL ? err.text : "good");
     json_decref(body);
     return out;
@@ -160,7 +160,7 @@
                 (char)rng_below(&rng, 256);
         }
         json_t *body =
-            chat_body_read(text, rng_below(&rng, sizeof(good)), &err);
+            chat_body_parse(text, rng_below(&rng, sizeof(good)), &err);
         ck_assert(body != NULL || err.text[0] != '\0');
         json_decref(body);
     }
