--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The callers' side of a chat: what a request has to be, and its end. */
+/* The caller's side of a chat: checks its request and sends the end of the
+ * answer. */
 
 #define MESSAGES_MAX 256
 #define MAX_TOKENS_MAX 100000
@@ -18,11 +19,11 @@
     }
     if (json_text(message, "role") == NULL) {
         return err_set(err, ERR_CALL, 400,
-                       "messages[%zu].role is missing or not a text", index);
+                       "messages[%zu].role is missing or not a string", index);
     }
     if (json_text(message, "content") == NULL) {
         return err_set(err, ERR_CALL, 400,
-                       "messages[%zu].content is missing or not a text",
+                       "messages[%zu].content is missing or not a string",
                        index);
     }
     return 0;
@@ -35,11 +36,11 @@
     const json_t *message;
     if (!json_is_array(messages) || json_array_size(messages) == 0) {
         return err_set(err, ERR_CALL, 400,
-                       "messages is missing or not a list with members");
+                       "messages is missing or not a non-empty array");
     }
     if (json_array_size(messages) > MESSAGES_MAX) {
-        return err_set(err, ERR_CALL, 400, "messages has over %d members",
-                       MESSAGES_MAX);
+        return err_set(err, ERR_CALL, 400,
+                       "messages has more than %d elements", MESSAGES_MAX);
     }
     json_array_foreach (messages, i, message) {
         if (check_message(message, i, err) != 0) {
@@ -50,7 +51,7 @@
 }
 
 static int
-check_numbers(const json_t *body, err_t *err)
+check_options(const json_t *body, err_t *err)
 {
     const json_t *max = json_object_get(body, "max_tokens");
     const json_t *stream = json_object_get(body, "stream");
@@ -58,11 +59,11 @@
     if (max != NULL &&
         (!json_is_integer(max) || tokens < 1 || tokens > MAX_TOKENS_MAX)) {
         return err_set(err, ERR_CALL, 400,
-                       "max_tokens is not a whole number from 1 to %d",
+                       "max_tokens is not an integer from 1 to %d",
                        MAX_TOKENS_MAX);
     }
     if (stream != NULL && !json_is_boolean(stream)) {
-        return err_set(err, ERR_CALL, 400, "stream is not true or false");
+        return err_set(err, ERR_CALL, 400, "stream is not a boolean");
     }
     return 0;
 }
@@ -85,16 +86,17 @@
         return NULL;
     }
     if (check_messages(json_object_get(body, "messages"), err) != 0 ||
-        check_numbers(body, err) != 0) {
+        check_options(body, err) != 0) {
         json_decref(body);
         return NULL;
     }
     return body;
 }
 
-/* The part of the answer that the caller's own body already holds. */
+/* Move a partial answer, which the caller sent as the final message to be
+ * continued, from the body to the answer text. */
 static void
-take_partial(chat_t *chat)
+move_partial_answer(chat_t *chat)
 {
     json_t *messages = json_object_get(chat->body, "messages");
     size_t count = json_array_size(messages);
@@ -109,7 +111,7 @@
 }
 
 static uint64_t
-ask_hash(const char *workspace, const chat_t *chat)
+hash_prompt(const char *workspace, const chat_t *chat)
 {
     CLEAN_BUF buf_t text = {0};
     prefix_render(json_object_get(chat->body, "messages"), &text);
@@ -117,28 +119,28 @@
 }
 
 static bool
-is_resume_of(const call_t *call, const resume_t *resume)
+token_matches_call(const call_t *call, const resume_t *resume)
 {
     return strcmp(resume->workspace, call->workspace) == 0 &&
            resume->ask == call->u.chat.prompt_hash;
 }
 
-/* Go on with a stream that began at this or another daemon.  A token of
- * another workspace, or of another prompt, is refused. */
+/* Resume a stream that began at this or another daemon.  A token of another
+ * workspace or of another prompt is rejected. */
 static void
-resume_call(call_t *call, const char *last_id, const config_t *config)
+resume_call(call_t *call, const char *last_event_id, const config_t *config)
 {
     chat_t *chat = &call->u.chat;
     resume_t resume;
     uint32_t offset;
     err_t err = {0};
-    if (resume_open(&resume, call->daemon->settings.secret, last_id, &offset,
-                    &err) != 0) {
+    if (resume_open(&resume, call->daemon->settings.secret, last_event_id,
+                    &offset, &err) != 0) {
         call_fail(call, 400, "bad_resume", OUTCOME_NOT_RUN, err.text);
         return;
     }
     const backend_t *backend = config_backend(config, resume.backend);
-    if (!is_resume_of(call, &resume) || backend == NULL) {
+    if (!token_matches_call(call, &resume) || backend == NULL) {
         call_fail(call, 409, "other_stream", OUTCOME_NOT_RUN,
                   "Last-Event-ID belongs to another request");
         return;
@@ -151,7 +153,7 @@
     str_copy(call->incarnation, sizeof(call->incarnation), resume.incarnation);
     str_copy(call->stream_id, sizeof(call->stream_id), resume.stream);
     str_copy(call->version, sizeof(call->version), resume.version);
-    str_copy(chat->resume_token, sizeof(chat->resume_token), last_id);
+    str_copy(chat->resume_token, sizeof(chat->resume_token), last_event_id);
     *strrchr(chat->resume_token, '.') = '\0';
     event_emit(&(event_t){.kind = "resume-asked",
                           .request = call->id,
@@ -162,11 +164,12 @@
 }
 
 static void
-begin(call_t *call, const char *last_id, const config_t *config)
+resume_or_dispatch(call_t *call, const char *last_event_id,
+                   const config_t *config)
 {
-    if (last_id != NULL && call->u.chat.stream) {
+    if (last_event_id != NULL && call->u.chat.stream) {
         (void)pthread_mutex_lock(&call->lock);
-        resume_call(call, last_id, config);
+        resume_call(call, last_event_id, config);
         (void)pthread_mutex_unlock(&call->lock);
         return;
     }
@@ -203,14 +206,14 @@
     chat_t *chat = &call->u.chat;
     chat->body = body;
     chat->stream = json_flag(body, "stream");
-    take_partial(chat);
+    move_partial_answer(chat);
     cache_salt(daemon->settings.secret, workspace->name, model, chat->salt);
-    chat->prompt_hash = ask_hash(workspace->name, chat);
+    chat->prompt_hash = hash_prompt(workspace->name, chat);
     prefix_compute(&chat->prefix, json_object_get(body, "messages"),
                    chat->salt, config_model(config, model)->version);
     call->queue_item.cost = chat->prefix.tokens;
     call_emit_event(call, "received", NULL);
-    begin(call, http_req_header(req, "Last-Event-ID"), config);
+    resume_or_dispatch(call, http_req_header(req, "Last-Event-ID"), config);
     call_release(call);
 }
 
@@ -218,7 +221,7 @@
 finish_stream(call_t *call)
 {
     CLEAN_BUF buf_t text = {0};
-    /* Not begun yet where the caller had all tokens and missed the end. */
+    /* Not open yet if the caller resumed with all tokens but not the end. */
     http_req_stream(call->req, 200, "text/event-stream");
     buf_fmt(&text,
             "event: outcome\ndata: {\"outcome\":\"done\",\"request\":\"%s\","
@@ -229,7 +232,7 @@
 }
 
 static void
-finish_whole(call_t *call)
+finish_response(call_t *call)
 {
     const chat_t *chat = &call->u.chat;
     CLEAN_JSON json_t *body = json_pack(
@@ -245,8 +248,8 @@
     http_req_reply_json(call->req, 200, body);
 }
 
-/* Upstream said that the answer is whole: tell the caller so.  The call's
- * lock is held. */
+/* Finish a call whose answer is complete: end its stream or send the whole
+ * response.  The call's lock is held. */
 void
 chat_finish(call_t *call)
 {
@@ -261,7 +264,7 @@
         finish_stream(call);
     }
     else {
-        finish_whole(call);
+        finish_response(call);
     }
     call_end(call, OUTCOME_DONE);
 }
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -3,59 +3,59 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* From the fair queues to the backend servers.  Each server has a lane: a
- * call is placed when it comes, waits in the lane of its server while that is
- * busy, and is placed anew at its turn, when more is known.  Waiting here and
- * not in the engine keeps the order fair among workspaces and the choice
- * open. */
+/* Dispatch of calls through fair queues to the backend servers.  Each server
+ * has a queue.  A call is placed when it arrives, waits in its server's queue
+ * while that server is busy, and is placed again when its turn comes, with
+ * newer load reports.  Queueing here rather than in the engine keeps the order
+ * fair among workspaces and lets a waiting call go to another server. */
 
-#define LANE_WAITING_MAX 1000
-#define GATE_MS 100.0
-#define GATE_SLACK 4.0
-#define HEADS_A_TICK 4
-#define REPLACE_MS 100
-#define COST_LEAST 16.0 /* tokens; decoding is not free either */
+#define QUEUE_CALLS_MAX 1000
+#define BACKLOG_MAX_MS 100.0
+#define REPORTED_BACKLOG_RATIO 4.0
+#define PLACED_AGAIN_PER_TICK_MAX 4
+#define PLACE_AGAIN_AFTER_MS 100
+#define COST_MIN 16.0 /* tokens; a cached prompt still costs decoding */
 
-struct lane {
+struct backend_queue {
     uint16_t backend;
     sched_t *sched;
-    pthread_mutex_t running; /* one thread at a time moves a lane */
+    pthread_mutex_t sending; /* held by the one thread that sends from it */
 };
 
 static backend_queue_t *
-lane_of(celeryspoold_t *daemon, uint16_t backend)
+queue_get_or_create(celeryspoold_t *daemon, uint16_t backend)
 {
     LOCK_SCOPE(&daemon->queues_lock);
-    backend_queue_t *lane = daemon->queues[backend];
-    if (lane == NULL) {
-        sched_opts_t opts = {.total_max = LANE_WAITING_MAX};
-        lane = mem_zalloc(sizeof(*lane));
-        lane->backend = backend;
-        lane->sched = sched_new(&opts);
-        (void)pthread_mutex_init(&lane->running, NULL);
-        __atomic_store_n(&daemon->queues[backend], lane, __ATOMIC_RELEASE);
+    backend_queue_t *queue = daemon->queues[backend];
+    if (queue == NULL) {
+        sched_opts_t opts = {.total_max = QUEUE_CALLS_MAX};
+        queue = mem_zalloc(sizeof(*queue));
+        queue->backend = backend;
+        queue->sched = sched_new(&opts);
+        (void)pthread_mutex_init(&queue->sending, NULL);
+        __atomic_store_n(&daemon->queues[backend], queue, __ATOMIC_RELEASE);
     }
-    return lane;
+    return queue;
 }
 
-/* The lane of a server, or NULL where nothing ever waited for it. */
+/* The queue of a server, or NULL if it never had one. */
 static backend_queue_t *
-lane_at(celeryspoold_t *daemon, size_t backend)
+queue_get(celeryspoold_t *daemon, size_t backend)
 {
     return __atomic_load_n(&daemon->queues[backend], __ATOMIC_ACQUIRE);
 }
 
-/* How long this daemon's share of a server needs for what waits here, in ms:
- * the other daemons' lanes take their turns too. */
+/* How long a server needs for the calls in this daemon's queue, in ms.  The
+ * daemons share the server, so this one has 1/n of its rate. */
 static double
-lane_wait_ms(celeryspoold_t *daemon, uint16_t backend, double rate)
+queue_wait_ms(celeryspoold_t *daemon, uint16_t backend, double rate)
 {
-    const backend_queue_t *lane = lane_at(daemon, backend);
-    if (lane == NULL) {
+    const backend_queue_t *queue = queue_get(daemon, backend);
+    if (queue == NULL) {
         return 0;
     }
     double daemons = (double)members_live(daemon->members);
-    return sched_waiting_cost(lane->sched) * daemons * 1000.0 / rate;
+    return sched_waiting_cost(queue->sched) * daemons * 1000.0 / rate;
 }
 
 static double
@@ -67,64 +67,64 @@
 }
 
 static void
-give_up_on(backend_queue_t *lane, sched_item_t *item, const char *code,
-           const char *text)
+reject_item(backend_queue_t *queue, sched_item_t *item, const char *code,
+            const char *text)
 {
     call_t *call = item->owner;
     celeryspoold_t *daemon = call->daemon;
-    double rate = backend_rate(daemon, lane->backend) /
+    double rate = backend_rate(daemon, queue->backend) /
                   (double)members_live(daemon->members);
-    int retry_after = sched_retry_after_s(lane->sched, rate);
+    int retry_after = sched_retry_after_s(queue->sched, rate);
     (void)pthread_mutex_lock(&call->lock);
     call_reject(call, 429, code, retry_after, text);
     (void)pthread_mutex_unlock(&call->lock);
     call_release(call);
 }
 
-/* Whether the queue before a call will take longer than its caller waits;
- * then it is refused now rather than held until its deadline. */
+/* Whether a chat is expected to wait past its deadline.  It is then rejected
+ * at once instead of queued until the deadline. */
 static bool
-comes_too_late(const call_t *call, const candidate_t *candidate)
+exceeds_deadline(const call_t *call, const candidate_t *candidate)
 {
-    double left = (double)(call->deadline_ms - time_mono_ms());
-    return call->kind == CALL_CHAT && candidate->wait_ms > left;
+    double remaining_ms = (double)(call->deadline_ms - time_mono_ms());
+    return call->kind == CALL_CHAT && candidate->wait_ms > remaining_ms;
 }
 
 static const policy_t *
-policy_of(const config_t *config)
+configured_policy(const config_t *config)
 {
     const policy_t *policy = policy_find(config->policy);
     return policy != NULL ? policy : policy_find("cost");
 }
 
-/* Keep the reason of a choice for the event of the sending: a call that waits
- * is placed many times. */
+/* Record the reason of a placement.  The event is written when the call is
+ * sent, because a waiting call is placed many times. */
 static void
-note_choice(call_t *call, const policy_t *policy, const candidate_t *chosen,
-            size_t count)
+record_placement(call_t *call, const policy_t *policy,
+                 const candidate_t *chosen, size_t count)
 {
     (void)snprintf(call->placement_reason, sizeof(call->placement_reason),
-                   "policy %s chose of %zu: wait %.1f ms, cached %u of %u "
+                   "policy %s, %zu candidates: wait %.1f ms, cached %u of %u "
                    "tokens, version %s",
                    policy->name, count, chosen->wait_ms, chosen->cached,
                    call->kind == CALL_CHAT ? call->u.chat.prefix.tokens : 0,
                    chosen->version);
 }
 
-/* Whether engines still load what is wanted: only they count then, so that a
- * version is asked for only where some server has it. */
+/* List the servers that can take a call.  For a chat, version is set to the
+ * weights version to use and the prefix is computed for it. */
 static size_t
-candidates_of(call_t *call, const place_scene_t *scene, candidate_t *all,
-              char version[CS_NAME_MAX])
+list_candidates(call_t *call, const place_scene_t *scene,
+                candidate_t *candidates, char version[CS_NAME_MAX])
 {
     static const prefix_t none = {0};
     if (call->kind == CALL_SERVICE) {
-        return place_candidates(scene, call->target, &none, NULL, all,
+        return place_candidates(scene, call->target, &none, NULL, candidates,
                                 CANDIDATES_MAX);
     }
     chat_t *chat = &call->u.chat;
     const model_t *model = config_model(scene->config, call->target);
-    /* A stream that has begun stays on the weights that it began with. */
+    /* A stream that has started stays on its weights version. */
     str_copy(version, CS_NAME_MAX,
              chat->emitted > 0 ? call->version
              : model != NULL   ? model->version
@@ -132,31 +132,31 @@
     prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                    chat->salt, version);
     size_t count = place_candidates(scene, call->target, &chat->prefix,
-                                    version, all, CANDIDATES_MAX);
+                                    version, candidates, CANDIDATES_MAX);
     if (count > 0 || chat->emitted > 0) {
         return count;
     }
-    /* Before the first server has loaded a new version, the others serve on
-     * with the old one, each keyed by what it has. */
-    count = place_candidates(scene, call->target, &chat->prefix, NULL, all,
-                             CANDIDATES_MAX);
+    /* Until the first server has loaded a new version, the servers go on with
+     * the old one; the prefix is then computed for the old version. */
+    count = place_candidates(scene, call->target, &chat->prefix, NULL,
+                             candidates, CANDIDATES_MAX);
     if (count > 0) {
-        str_copy(version, CS_NAME_MAX, all[0].version);
+        str_copy(version, CS_NAME_MAX, candidates[0].version);
         prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                        chat->salt, version);
         count = place_candidates(scene, call->target, &chat->prefix, version,
-                                 all, CANDIDATES_MAX);
+                                 candidates, CANDIDATES_MAX);
     }
     return count;
 }
 
-/* Choose a backend server for a call.  The call's lock is held; out->backend
- * is not valid after return. */
+/* Choose a backend server for a call; false if there is none.  The call's lock
+ * is held.  out->backend is not valid after return. */
 bool
 dispatch_place(call_t *call, candidate_t *out)
 {
     celeryspoold_t *daemon = call->daemon;
-    candidate_t all[CANDIDATES_MAX];
+    candidate_t candidates[CANDIDATES_MAX];
     char version[CS_NAME_MAX] = "";
     config_t *config = daemon_config(daemon);
     place_scene_t scene = {.config = config,
@@ -165,25 +165,26 @@
                            .dc = daemon->settings.dc,
                            .now_ms = time_mono_ms(),
                            .wall_ms = time_wall_ms()};
-    place_ask_t ask = {.objective = config->objective,
-                       .turn = __atomic_fetch_add(&daemon->placement_count, 1,
-                                                  __ATOMIC_RELAXED)};
+    place_ask_t input = {.objective = config->objective,
+                         .turn = __atomic_fetch_add(&daemon->placement_count,
+                                                    1, __ATOMIC_RELAXED)};
     static const prefix_t none = {0};
     for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
         scene.avoid[i] = call->tried_names[i];
     }
-    size_t count = candidates_of(call, &scene, all, version);
+    size_t count = list_candidates(call, &scene, candidates, version);
     for (size_t i = 0; i < count; i++) {
-        all[i].wait_ms += lane_wait_ms(daemon, all[i].id, all[i].rate);
+        candidates[i].wait_ms +=
+            queue_wait_ms(daemon, candidates[i].id, candidates[i].rate);
     }
-    ask.prefix = call->kind == CALL_CHAT ? &call->u.chat.prefix : &none;
+    input.prefix = call->kind == CALL_CHAT ? &call->u.chat.prefix : &none;
     if (count > 0) {
-        const policy_t *policy = policy_of(config);
-        *out = all[policy->choose(all, count, &ask)];
+        const policy_t *policy = configured_policy(config);
+        *out = candidates[policy->choose(candidates, count, &input)];
         str_copy(call->backend, sizeof(call->backend), out->backend->name);
         str_copy(call->addr, sizeof(call->addr), out->backend->addr);
         str_copy(call->version, sizeof(call->version), version);
-        note_choice(call, policy, out, count);
+        record_placement(call, policy, out, count);
     }
     config_release(config);
     return count > 0;
@@ -204,34 +205,36 @@
     }
 }
 
-/* Whether a server has enough work from here.  Each daemon keeps to its share
- * of the gate, by what it has sent itself: were it the reported load alone,
- * the daemon that reads the report first would fill every gap and callers of
- * the others would starve.  The report only bounds the sum. */
+/* Whether a server has enough work from this daemon.  Each daemon keeps to its
+ * share of the backlog limit, measured by what it has sent itself.  With the
+ * reported load alone, the daemon that reads a report first would fill every
+ * gap and callers of the other daemons would starve.  The reported load only
+ * bounds the sum. */
 static bool
-is_busy(celeryspoold_t *daemon, uint16_t backend)
+is_server_busy(celeryspoold_t *daemon, uint16_t backend)
 {
     backend_state_t state;
     if (!view_get(daemon->view, backend, &state)) {
         return false;
     }
     double own_ms = state.own_waiting * 1000.0 / view_rate(&state);
-    double share_ms = GATE_MS / (double)members_live(daemon->members);
-    return own_ms >= share_ms || view_wait_ms(&state) > GATE_MS * GATE_SLACK;
+    double share_ms = BACKLOG_MAX_MS / (double)members_live(daemon->members);
+    return own_ms >= share_ms ||
+           view_wait_ms(&state) > BACKLOG_MAX_MS * REPORTED_BACKLOG_RATIO;
 }
 
-/* No server takes the call now.  The call's lock is held. */
+/* Reject a call for which no server was found.  The call's lock is held. */
 static void
-refuse_unplaced(call_t *call)
+reject_unplaced(call_t *call)
 {
     call_reject(call, 503, "no_backend", 1,
-                "no backend server takes this work now");
+                "no backend server can take this request now");
 }
 
-/* Send a call whose turn has come; its server may have changed since it was
- * queued, and another one may have become the better choice. */
+/* Send a call whose turn has come.  It is placed again, since its server may
+ * have changed or another may have become the better choice. */
 static void
-serve_item(sched_item_t *item)
+send_item(sched_item_t *item)
 {
     call_t *call = item->owner;
     candidate_t candidate;
@@ -240,34 +243,35 @@
         send_call(call, &candidate);
     }
     else {
-        refuse_unplaced(call);
+        reject_unplaced(call);
     }
     (void)pthread_mutex_unlock(&call->lock);
     call_release(call);
 }
 
-/* Serve a lane while its server is free. */
+/* Send calls from a queue until its server is busy. */
 static void
-lane_run(celeryspoold_t *daemon, backend_queue_t *lane)
+queue_run(celeryspoold_t *daemon, backend_queue_t *queue)
 {
-    if (pthread_mutex_trylock(&lane->running) != 0) {
+    if (pthread_mutex_trylock(&queue->sending) != 0) {
         return;
     }
     sched_item_t *item;
-    while (!is_busy(daemon, lane->backend) &&
-           (item = sched_pop(lane->sched)) != NULL) {
-        serve_item(item);
+    while (!is_server_busy(daemon, queue->backend) &&
+           (item = sched_pop(queue->sched)) != NULL) {
+        send_item(item);
     }
-    (void)pthread_mutex_unlock(&lane->running);
+    (void)pthread_mutex_unlock(&queue->sending);
 }
 
-/* Send a call whose server is free and for which nobody waits; true if it was
- * sent. */
+/* Send a call at once if its server is free and the server's queue is empty;
+ * true if it was sent. */
 static bool
-goes_at_once(celeryspoold_t *daemon, backend_queue_t *lane, call_t *call,
+send_if_idle(celeryspoold_t *daemon, backend_queue_t *queue, call_t *call,
              const candidate_t *candidate)
 {
-    if (sched_waiting(lane->sched) > 0 || is_busy(daemon, lane->backend)) {
+    if (sched_waiting(queue->sched) > 0 ||
+        is_server_busy(daemon, queue->backend)) {
         return false;
     }
     LOCK_SCOPE(&call->lock);
@@ -276,8 +280,8 @@
     return true;
 }
 
-/* Place a call, and send it or queue it in the lane of its server.  The queue
- * holds one share of the call.  No call's lock is held by the caller. */
+/* Place a call, then send it or put it in its server's queue, which holds a
+ * reference to it.  The caller holds no call's lock. */
 void
 dispatch_submit(call_t *call)
 {
@@ -290,60 +294,60 @@
     call_hold(call);
     if (!found) {
         (void)pthread_mutex_lock(&call->lock);
-        refuse_unplaced(call);
+        reject_unplaced(call);
         (void)pthread_mutex_unlock(&call->lock);
         call_release(call);
         return;
     }
-    backend_queue_t *lane = lane_of(daemon, candidate.id);
+    backend_queue_t *queue = queue_get_or_create(daemon, candidate.id);
     double uncached =
         call->kind == CALL_CHAT
             ? (double)call->u.chat.prefix.tokens - (double)candidate.cached
             : 0;
-    call->queue_item.cost = uncached > COST_LEAST ? uncached : COST_LEAST;
+    call->queue_item.cost = uncached > COST_MIN ? uncached : COST_MIN;
     call->queue_item.placed_ms = time_mono_ms();
-    if (goes_at_once(daemon, lane, call, &candidate)) {
+    if (send_if_idle(daemon, queue, call, &candidate)) {
         call_release(call);
         return;
     }
-    if (comes_too_late(call, &candidate)) {
-        give_up_on(lane, &call->queue_item, "overloaded",
-                   "the queue is longer than the request's deadline");
+    if (exceeds_deadline(call, &candidate)) {
+        reject_item(queue, &call->queue_item, "overloaded",
+                    "the expected wait exceeds the request's deadline");
         return;
     }
-    if (!sched_push(lane->sched, &call->queue_item, &evicted)) {
-        give_up_on(lane, &call->queue_item, "overloaded",
-                   "the queue of this workspace is full");
+    if (!sched_push(queue->sched, &call->queue_item, &evicted)) {
+        reject_item(queue, &call->queue_item, "overloaded",
+                    "the queue of this workspace is full");
         return;
     }
     if (evicted != NULL) {
-        give_up_on(lane, evicted, "overloaded",
-                   "the queue is full and this workspace is over its share");
+        reject_item(queue, evicted, "overloaded",
+                    "the queue is full and this workspace is over its share");
     }
-    lane_run(daemon, lane);
+    queue_run(daemon, queue);
 }
 
-/* Move all lanes as far as the backend servers take work. */
+/* Send calls from all queues whose servers are not busy. */
 void
 dispatch_run(celeryspoold_t *daemon)
 {
     size_t count = view_count(daemon->view);
     for (size_t i = 0; i < count; i++) {
-        backend_queue_t *lane = lane_at(daemon, i);
-        if (lane != NULL && sched_waiting(lane->sched) > 0) {
-            lane_run(daemon, lane);
+        backend_queue_t *queue = queue_get(daemon, i);
+        if (queue != NULL && sched_waiting(queue->sched) > 0) {
+            queue_run(daemon, queue);
         }
     }
 }
 
-/* The first of a lane may have a better place by now: another server became
- * idle, or its own is gone. */
+/* Place the calls at the head of a queue again: another server may have become
+ * idle, or their own may be gone. */
 static void
-replace_heads(backend_queue_t *lane, int64_t now_ms)
+place_first_calls_again(backend_queue_t *queue, int64_t now_ms)
 {
-    for (int i = 0; i < HEADS_A_TICK; i++) {
+    for (int i = 0; i < PLACED_AGAIN_PER_TICK_MAX; i++) {
         sched_item_t *item =
-            sched_take_stale(lane->sched, now_ms - REPLACE_MS);
+            sched_take_stale(queue->sched, now_ms - PLACE_AGAIN_AFTER_MS);
         if (item == NULL) {
             return;
         }
@@ -353,8 +357,8 @@
         bool found = dispatch_place(call, &candidate);
         (void)pthread_mutex_unlock(&call->lock);
         item->placed_ms = now_ms;
-        if (found && candidate.id == lane->backend) {
-            sched_put_back(lane->sched, item);
+        if (found && candidate.id == queue->backend) {
+            sched_put_back(queue->sched, item);
             continue;
         }
         dispatch_submit(call);
@@ -362,50 +366,50 @@
     }
 }
 
-/* Refuse what cannot be served in time, place anew what waits first, then
- * move the lanes. */
+/* Reject calls whose deadline has passed, place the first of each queue again,
+ * then send what can be sent. */
 void
 dispatch_tick(celeryspoold_t *daemon)
 {
     int64_t now = time_mono_ms();
     size_t count = view_count(daemon->view);
     for (size_t i = 0; i < count; i++) {
-        backend_queue_t *lane = lane_at(daemon, i);
+        backend_queue_t *queue = queue_get(daemon, i);
         sched_item_t *item;
-        if (lane == NULL || sched_waiting(lane->sched) == 0) {
+        if (queue == NULL || sched_waiting(queue->sched) == 0) {
             continue;
         }
-        while ((item = sched_expired(lane->sched, now)) != NULL) {
-            give_up_on(lane, item, "deadline",
-                       "the deadline passed while the request waited");
+        while ((item = sched_expired(queue->sched, now)) != NULL) {
+            reject_item(queue, item, "deadline",
+                        "the deadline passed while the request waited");
         }
-        replace_heads(lane, now);
+        place_first_calls_again(queue, now);
     }
     dispatch_run(daemon);
 }
 
-/* How many calls wait in all lanes. */
+/* The number of calls in all queues. */
 size_t
 dispatch_waiting_count(celeryspoold_t *daemon)
 {
     size_t waiting = 0;
     for (size_t i = 0; i < BACKENDS_MAX; i++) {
-        const backend_queue_t *lane = lane_at(daemon, i);
-        waiting += lane == NULL ? 0 : sched_waiting(lane->sched);
+        const backend_queue_t *queue = queue_get(daemon, i);
+        waiting += queue == NULL ? 0 : sched_waiting(queue->sched);
     }
     return waiting;
 }
 
-/* Free the lanes; no call waits any more. */
+/* Free the queues, which are empty. */
 void
 dispatch_free(celeryspoold_t *daemon)
 {
     for (size_t i = 0; i < BACKENDS_MAX; i++) {
-        backend_queue_t *lane = daemon->queues[i];
-        if (lane != NULL) {
-            sched_free(lane->sched);
-            (void)pthread_mutex_destroy(&lane->running);
-            free(lane);
+        backend_queue_t *queue = daemon->queues[i];
+        if (queue != NULL) {
+            sched_free(queue->sched);
+            (void)pthread_mutex_destroy(&queue->sending);
+            free(queue);
         }
     }
 }
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -3,21 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The life of a call, from the request to its one final answer. */
+/* The lifecycle of a call, from the request to its only final answer. */
 
 #define DEADLINE_DEFAULT_MS 30000
 #define OUTCOME_HEADER "X-Celeryspool-Outcome"
 #define REQUEST_HEADER "X-Request-Id"
 
-/* The word for an outcome in headers, events and final stream events. */
+/* The name of an outcome in headers, events and final stream events. */
 const char *
 outcome_name(outcome_t outcome)
 {
-    static const char *const words[] = {"done", "not_run", "unknown"};
-    return words[outcome];
+    static const char *const names[] = {"done", "not_run", "unknown"};
+    return names[outcome];
 }
 
-/* How long a caller waits, in ms; -1 for a header that is not allowed. */
+/* The caller's timeout in ms; -1 if the header is not valid. */
 long
 call_timeout_ms(http_req_t *req)
 {
@@ -26,14 +26,14 @@
     if (header == NULL) {
         return DEADLINE_DEFAULT_MS;
     }
-    long span = strtol(header, &end, 10);
-    bool good = end != header && *end == '\0' && span >= 1 &&
-                span <= CALL_DEADLINE_MAX_MS;
-    return good ? span : -1;
+    long timeout_ms = strtol(header, &end, 10);
+    bool is_valid = end != header && *end == '\0' && timeout_ms >= 1 &&
+                    timeout_ms <= CALL_DEADLINE_MAX_MS;
+    return is_valid ? timeout_ms : -1;
 }
 
-/* A call for a request, listed as running.  The creator holds one share and
- * the list none; the call leaves the list when it ends. */
+/* Create a call for a request and list it as running.  The creator and the
+ * list hold one reference each; call_end takes the call off the list. */
 call_t *
 call_new(celeryspoold_t *daemon, http_req_t *req, call_kind_t kind,
          const workspace_t *workspace, const char *target)
@@ -94,7 +94,7 @@
     free(call);
 }
 
-/* Give a share back; the last holder frees the call. */
+/* Drop a reference; the last one frees the call. */
 void
 call_release(call_t *call)
 {
@@ -114,7 +114,7 @@
                           .detail = detail});
 }
 
-/* Take the current leg out of the view. */
+/* Remove the current attempt from the view's load. */
 void
 call_remove_from_view(call_t *call)
 {
@@ -126,7 +126,7 @@
 }
 
 static bool
-was_tried(const call_t *call, const char *name)
+is_tried(const call_t *call, const char *name)
 {
     for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
         if (strcmp(call->tried_names[i], name) == 0) {
@@ -136,11 +136,11 @@
     return false;
 }
 
-/* Remember the present server as tried, so that it is avoided next. */
+/* Mark the current server as tried, so that placement avoids it. */
 void
 call_mark_tried(call_t *call)
 {
-    if (call->backend[0] == '\0' || was_tried(call, call->backend)) {
+    if (call->backend[0] == '\0' || is_tried(call, call->backend)) {
         return;
     }
     str_copy(call->tried_names[call->tried_count % TRIED_MAX], CS_NAME_MAX,
@@ -150,8 +150,8 @@
     }
 }
 
-/* The call has its answer: count it and take it off the list.  The call's
- * lock is held; a second end is ignored, so each request is answered once. */
+/* End an answered call: count it and take it off the list.  The call's lock
+ * is held.  A second end is ignored, so each request is answered once. */
 void
 call_end(call_t *call, outcome_t outcome)
 {
@@ -182,8 +182,8 @@
                      call->id);
 }
 
-/* An error within a stream: an event that names it, then a broken
- * connection, so that the caller cannot take what it has for the whole. */
+/* End a stream with an error event and then break the connection, so that
+ * the caller cannot mistake a partial answer for a complete one. */
 static void
 fail_stream(call_t *call, const json_t *body)
 {
@@ -215,15 +215,15 @@
     call_end(call, outcome);
 }
 
-/* What a call that is given up on before any answer came to. */
+/* The outcome of a call that fails before any answer. */
 outcome_t
 call_outcome_so_far(const call_t *call)
 {
     return call->may_have_run ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN;
 }
 
-/* Refuse a call at once, saying when to come back.  It did not run, unless an
- * earlier leg of it may have. */
+/* Reject a call with a Retry-After header.  The call's lock is held.  The
+ * call did not run, unless an earlier attempt may have. */
 void
 call_reject(call_t *call, int status, const char *code, int retry_after_s,
             const char *text)
@@ -239,14 +239,14 @@
 }
 
 static const char *
-phase_word(call_phase_t phase)
+phase_name(call_phase_t phase)
 {
-    static const char *const words[] = {"queued", "sent", "streaming",
+    static const char *const names[] = {"queued", "sent", "streaming",
                                         "ended"};
-    return words[phase];
+    return names[phase];
 }
 
-/* One row a running call, for the query language. */
+/* A JSON array with one row per running call, for the query language. */
 json_t *
 calls_to_json(celeryspoold_t *daemon)
 {
@@ -260,7 +260,7 @@
             json_pack(
                 "{s:s,s:s,s:s,s:s,s:s,s:I,s:I}", "request", call->id,
                 "workspace", call->workspace, "target", call->target, "phase",
-                phase_word(call->phase), "backend", call->backend, "age_ms",
+                phase_name(call->phase), "backend", call->backend, "age_ms",
                 (json_int_t)((now - call->received_us) / 1000), "tokens",
                 (json_int_t)(call->kind == CALL_CHAT ? call->u.chat.emitted
                                                      : 0)));
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -18,10 +18,10 @@
 
 typedef enum { STATE_WARMING, STATE_READY, STATE_LEAVING } daemon_state_t;
 
-/* What a request came to, told to its caller in each answer. */
+/* The outcome of a request, reported to its caller in each answer. */
 typedef enum { OUTCOME_DONE, OUTCOME_NOT_RUN, OUTCOME_UNKNOWN } outcome_t;
 
-typedef struct lane backend_queue_t;
+typedef struct backend_queue backend_queue_t;
 typedef struct peer peer_t;
 typedef struct pool pool_t;
 typedef struct call call_t;
@@ -31,15 +31,15 @@
     settings_t settings;
     uint64_t incarnation;
     daemon_state_t state;
-    bool stopping;
-    bool stop_requested;
-    bool draining_for_window; /* the ticker's own */
+    bool stopping;            /* the threads are to end */
+    bool stop_requested;      /* a graceful shutdown has begun */
+    bool draining_for_window; /* used by the tick thread only */
     int64_t started_ms;
 
     pthread_mutex_t config_lock;
     config_t *config;
-    int64_t config_version;      /* of the store's object, 0 if never read */
-    int64_t config_confirmed_ms; /* when store or a peer last confirmed it */
+    int64_t config_version; /* version of the store's object; 0: never read */
+    int64_t config_confirmed_ms; /* last confirmation by the store or a peer */
 
     view_t *view;
     cache_map_t *cache;
@@ -53,7 +53,7 @@
     pool_t *pool;
 
     pthread_mutex_t queues_lock;
-    backend_queue_t *queues[BACKENDS_MAX]; /* by the number in the view */
+    backend_queue_t *queues[BACKENDS_MAX]; /* index: view_id() */
 
     pthread_mutex_t calls_lock;
     call_list_t calls;
@@ -82,41 +82,41 @@
 
 typedef enum {
     CALL_QUEUED,
-    CALL_SENT,      /* handed to a backend server, nothing back yet */
-    CALL_STREAMING, /* the first token is there */
+    CALL_SENT,      /* sent to a backend server, no token received yet */
+    CALL_STREAMING, /* the first token has been received */
     CALL_ENDED
 } call_phase_t;
 
-/* What only a chat has. */
+/* State of a chat call. */
 typedef struct {
     json_t *body;
     prefix_t prefix;
     char salt[CS_ID_LEN + 1];
     uint64_t prompt_hash;
     bool stream;
-    bool resumed;      /* the caller came back with Last-Event-ID */
-    uint32_t emitted;  /* tokens that the caller has */
-    buf_t text;        /* of those that this daemon has seen */
-    buf_t sse_pending; /* bytes of an unfinished upstream event */
-    buf_t event_out;   /* one event for the caller, its room used again */
+    bool resumed;     /* the caller reconnected with Last-Event-ID */
+    uint32_t emitted; /* answer tokens so far; those of a stream are written */
+    buf_t text;       /* answer text that this daemon has */
+    buf_t sse_pending; /* bytes of an incomplete upstream event */
+    buf_t event_out;   /* buffer for one event to the caller, reused */
     char resume_token[RESUME_TEXT_MAX];
-    bool has_gap;  /* upstream skipped tokens that the caller has not */
-    bool finished; /* upstream said that the answer is whole */
+    bool has_gap;  /* upstream skipped tokens that the caller lacks */
+    bool finished; /* upstream sent [DONE] and no token is missing */
     uint32_t prompt_tokens;
     uint32_t cached_tokens;
 } chat_t;
 
-/* What only a service call has. */
+/* State of a service call. */
 typedef struct {
     char *method;
-    buf_t request_target; /* path and query at the service */
+    buf_t request_target; /* path and query, without the service name */
     char content_type[128];
     char reply_content_type[128];
-    bool overflow; /* the answer is longer than is passed on */
+    bool overflow; /* the reply is too long to pass on */
     buf_t body;
     buf_t reply;
     bool idempotent;
-    bool claimed;
+    bool claimed; /* the claim log granted the claim; no outcome recorded */
     char claim_key[CLAIM_KEY_LEN + 1];
     char claim_token[CS_ID_LEN + 1];
 } service_call_t;
@@ -141,17 +141,17 @@
     series_t *series;
     int64_t received_us;
     int64_t sent_us;
-    int64_t last_activity_us; /* when upstream last said anything */
+    int64_t last_activity_us; /* last data or probe reply from the server */
     int64_t deadline_ms;
 
-    /* The exchange with a backend server that counts now.  Callbacks of an
-     * older one carry a smaller leg number and are ignored. */
+    /* The current attempt: one exchange with one backend server.  Callbacks
+     * of an older attempt carry a smaller number and are ignored. */
     unsigned attempt_number;
     uint64_t xfer;
-    bool first_token_received;  /* this leg has brought something */
-    bool counted_in_view;       /* this leg stands in the view */
-    char placement_reason[200]; /* it was placed where it was */
-    bool may_have_run;          /* some leg broke after it had been sent */
+    bool first_token_received; /* in this attempt */
+    bool counted_in_view; /* this attempt is counted as load in the view */
+    char placement_reason[200]; /* why the policy chose this server */
+    bool may_have_run;          /* an attempt failed after it was sent */
     uint16_t backend_id;
     char backend[CS_NAME_MAX];
     char addr[CS_ADDR_MAX];
@@ -160,13 +160,13 @@
     char stream_id[CS_ID_LEN + 1];
     double uncached_tokens;
     double expected_ttft_ms;
-    unsigned sent_count;
+    unsigned sent_count; /* attempts that sent the request, without resumes */
     unsigned tried_count;
-    char tried_names[TRIED_MAX][CS_NAME_MAX];
+    char tried_names[TRIED_MAX][CS_NAME_MAX]; /* servers to avoid */
     bool probing;
     unsigned probe_failures;
-    int64_t retry_at_ms; /* a move that found no place is tried again then */
-    int64_t recovery_deadline_ms;
+    int64_t retry_at_ms; /* next try of a failover that found no server */
+    int64_t recovery_deadline_ms; /* 0 before the first failover */
 };
 
 call_t *call_new(celeryspoold_t *daemon, http_req_t *req, call_kind_t kind,
@@ -193,7 +193,7 @@
 void chat_finish(call_t *call);
 void chat_feed(call_t *call, const char *data, size_t len);
 void chat_recover(call_t *call, bool same_server);
-void chat_place_again(call_t *call, bool same_server_too);
+void chat_place_again(call_t *call, bool may_use_same_server);
 void chat_fail_over(call_t *call);
 void chat_tick(call_t *call, int64_t now_us);
 
@@ -237,7 +237,7 @@
 json_t *peer_fetch(const char *addr, const char *what, int timeout_ms,
                    err_t *err);
 
-/* ---- pool of workers for what may block ---- */
+/* ---- thread pool for jobs that may block ---- */
 
 pool_t *pool_new(unsigned threads);
 void pool_submit(pool_t *pool, void (*run)(void *arg), void *arg);
--- a/kernel/sched.c
+++ b/kernel/sched.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 /* A bounded queue that is fair among workspaces: start-time fair queueing
- * (Goyal, Vin, Cheng), the cost of a request being its tokens.  Past the
- * bound the newest request of the workspace that waits with the most, by its
- * share, is given up on. */
+ * (Goyal, Vin, Cheng), where the cost of a request is its tokens.  When the
+ * queue is full, the newest request of the workspace with the largest backlog
+ * relative to its share is evicted. */
 
 #define RETRY_AFTER_MAX_S 30
 
@@ -16,7 +16,7 @@
     CK_STAILQ_HEAD(items, sched_item) items;
     char workspace[CS_NAME_MAX];
     int share;
-    double finish; /* virtual time of its last item */
+    double finish_tag; /* of the last item taken; start tag of the next */
     size_t count;
     double cost;
 } flow_t;
@@ -25,7 +25,7 @@
     pthread_mutex_t lock;
     sched_opts_t opts;
     CK_LIST_HEAD(flows, flow) flows;
-    double now; /* virtual time */
+    double virtual_time; /* start tag of the last item taken */
     size_t count;
     double cost;
 };
@@ -40,7 +40,7 @@
     return sched;
 }
 
-/* Free the queue; its items belong to their owners. */
+/* Free the queue, but not its items, which belong to their owners. */
 void
 sched_free(sched_t *sched)
 {
@@ -54,7 +54,7 @@
 }
 
 static flow_t *
-flow_of(sched_t *sched, const sched_item_t *item)
+flow_get_or_create(sched_t *sched, const sched_item_t *item)
 {
     flow_t *flow;
     CK_LIST_FOREACH (flow, &sched->flows, entry) {
@@ -79,20 +79,20 @@
     sched->cost -= item->cost;
 }
 
-/* The flow that waits with the most cost for its share. */
+/* The flow with the largest waiting cost relative to its share, or NULL. */
 static flow_t *
-flow_greediest(sched_t *sched)
+flow_most_backlogged(sched_t *sched)
 {
-    flow_t *worst = NULL;
+    flow_t *largest = NULL;
     flow_t *flow;
     CK_LIST_FOREACH (flow, &sched->flows, entry) {
         if (flow->count > 0 &&
-            (worst == NULL ||
-             flow->cost / flow->share > worst->cost / worst->share)) {
-            worst = flow;
+            (largest == NULL ||
+             flow->cost / flow->share > largest->cost / largest->share)) {
+            largest = flow;
         }
     }
-    return worst;
+    return largest;
 }
 
 static sched_item_t *
@@ -106,27 +106,27 @@
     return last;
 }
 
-/* Add an item.  False: it is given up on itself.  True with *evicted set:
- * another one is given up on in its place. */
+/* Add an item.  False if it is rejected.  True with *evicted set if another
+ * item was removed to make room. */
 bool
 sched_push(sched_t *sched, sched_item_t *item, sched_item_t **evicted)
 {
     LOCK_SCOPE(&sched->lock);
-    flow_t *flow = flow_of(sched, item);
+    flow_t *flow = flow_get_or_create(sched, item);
     *evicted = NULL;
     flow->share = item->share > 0 ? item->share : 1;
     if (sched->count >= sched->opts.total_max) {
-        flow_t *worst = flow_greediest(sched);
-        double after = (flow->cost + item->cost) / flow->share;
-        if (worst == NULL || worst == flow ||
-            worst->cost / worst->share <= after) {
+        flow_t *largest = flow_most_backlogged(sched);
+        double ratio_with_item = (flow->cost + item->cost) / flow->share;
+        if (largest == NULL || largest == flow ||
+            largest->cost / largest->share <= ratio_with_item) {
             return false;
         }
-        *evicted = flow_newest(worst);
-        flow_remove(sched, worst, *evicted);
+        *evicted = flow_newest(largest);
+        flow_remove(sched, largest, *evicted);
     }
-    if (flow->count == 0 && flow->finish < sched->now) {
-        flow->finish = sched->now;
+    if (flow->count == 0 && flow->finish_tag < sched->virtual_time) {
+        flow->finish_tag = sched->virtual_time;
     }
     item->first = flow->count == 0;
     CK_STAILQ_INSERT_TAIL(&flow->items, item, entry);
@@ -137,18 +137,19 @@
     return true;
 }
 
-/* The flow whose turn it is, or NULL. */
+/* The flow to take from next, or NULL. */
 static flow_t *
 flow_next(sched_t *sched)
 {
-    flow_t *best = NULL;
+    flow_t *next = NULL;
     flow_t *flow;
     CK_LIST_FOREACH (flow, &sched->flows, entry) {
-        if (flow->count > 0 && (best == NULL || flow->finish < best->finish)) {
-            best = flow;
+        if (flow->count > 0 &&
+            (next == NULL || flow->finish_tag < next->finish_tag)) {
+            next = flow;
         }
     }
-    return best;
+    return next;
 }
 
 /* Take the next item in fair order, or NULL. */
@@ -156,20 +157,20 @@
 sched_pop(sched_t *sched)
 {
     LOCK_SCOPE(&sched->lock);
-    flow_t *best = flow_next(sched);
-    if (best == NULL) {
+    flow_t *next = flow_next(sched);
+    if (next == NULL) {
         return NULL;
     }
-    sched_item_t *item = CK_STAILQ_FIRST(&best->items);
-    sched->now = best->finish;
-    best->finish += item->cost / best->share;
-    flow_remove(sched, best, item);
+    sched_item_t *item = CK_STAILQ_FIRST(&next->items);
+    sched->virtual_time = next->finish_tag;
+    next->finish_tag += item->cost / next->share;
+    flow_remove(sched, next, item);
     return item;
 }
 
-/* Take the next item in fair order if its place was thought over before a
- * time, to think it over again.  Its workspace is not charged: an item that
- * is taken and put back many times would otherwise lose its turn. */
+/* Take the next item in fair order if it was last placed at or before a time,
+ * to place it again.  Its workspace is not charged: an item that is taken and
+ * put back many times would otherwise lose its turn. */
 sched_item_t *
 sched_take_stale(sched_t *sched, int64_t before_ms)
 {
@@ -183,12 +184,12 @@
     return item;
 }
 
-/* Put back, as the first of its workspace, what sched_take_stale took. */
+/* Put back, first in its workspace, an item taken by sched_take_stale. */
 void
 sched_put_back(sched_t *sched, sched_item_t *item)
 {
     LOCK_SCOPE(&sched->lock);
-    flow_t *flow = flow_of(sched, item);
+    flow_t *flow = flow_get_or_create(sched, item);
     CK_STAILQ_INSERT_HEAD(&flow->items, item, entry);
     flow->count++;
     flow->cost += item->cost;
@@ -196,7 +197,7 @@
     sched->cost += item->cost;
 }
 
-/* Take out one item whose deadline has passed, or NULL. */
+/* Take an item whose deadline has passed, or NULL. */
 sched_item_t *
 sched_expired(sched_t *sched, int64_t now_ms)
 {
@@ -228,8 +229,8 @@
     return sched->cost;
 }
 
-/* When a refused caller should come back, in whole seconds: the time that
- * what waits now will take. */
+/* The Retry-After of a rejected call, in whole seconds: the time that the
+ * waiting items will take. */
 int
 sched_retry_after_s(sched_t *sched, double tokens_per_s)
 {
@@ -241,40 +242,41 @@
 
 #define BUDGET_MAX 50000 /* thousandths of a retry */
 #define BUDGET_PER_REQUEST 200
-#define BUDGET_RETRY 1000
+#define BUDGET_PER_RETRY 1000
 
-/* A budget begins full: one lost server out of nine takes a ninth of all
- * requests with it at once, and they may all be tried elsewhere. */
+/* A budget starts full: if one of nine servers fails, a ninth of all requests
+ * fail at once, and all of them may be retried on other servers. */
 void
 retry_budget_init(retry_budget_t *budget)
 {
     __atomic_store_n(&budget->thousandths, BUDGET_MAX, __ATOMIC_RELAXED);
 }
 
-/* Each first try earns a fifth of a retry, so that retries cannot multiply a
- * load that is failing already. */
+/* Earn a fifth of a retry for a first attempt, so that retries cannot multiply
+ * the load on servers that already fail. */
 void
 retry_budget_earn(retry_budget_t *budget)
 {
-    uint64_t have;
+    uint64_t current;
     uint64_t next;
     do {
-        have = __atomic_load_n(&budget->thousandths, __ATOMIC_RELAXED);
-        next = have + BUDGET_PER_REQUEST;
+        current = __atomic_load_n(&budget->thousandths, __ATOMIC_RELAXED);
+        next = current + BUDGET_PER_REQUEST;
         next = next > BUDGET_MAX ? BUDGET_MAX : next;
-    } while (!ck_pr_cas_64(&budget->thousandths, have, next));
+    } while (!ck_pr_cas_64(&budget->thousandths, current, next));
 }
 
-/* Whether a retry may be made; it is paid for if so. */
+/* Spend a retry; false if the budget is exhausted. */
 bool
 retry_budget_spend(retry_budget_t *budget)
 {
-    uint64_t have;
+    uint64_t current;
     do {
-        have = __atomic_load_n(&budget->thousandths, __ATOMIC_RELAXED);
-        if (have < BUDGET_RETRY) {
+        current = __atomic_load_n(&budget->thousandths, __ATOMIC_RELAXED);
+        if (current < BUDGET_PER_RETRY) {
             return false;
         }
-    } while (!ck_pr_cas_64(&budget->thousandths, have, have - BUDGET_RETRY));
+    } while (!ck_pr_cas_64(&budget->thousandths, current,
+                           current - BUDGET_PER_RETRY));
     return true;
 }
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define ITEMS 400
+#define ITEMS_MAX 400
 
 static sched_item_t *
 item_new(const char *workspace, int share, double cost)
@@ -26,14 +26,14 @@
     sched_free(sched);
 }
 
-/* A small newspaper's verdicts stop while a big one floods.  The flood came
- * first and fills the queue; the small one's few requests come behind it.
- * Fair queueing lets the small one through at its share. */
-START_TEST(a_flooding_workspace_does_not_hold_back_a_small_one)
+/* Guards against a workspace that gets no answers while a larger one floods
+ * the queue.  The flood is queued first, the small workspace's few requests
+ * behind it.  Fair queueing must serve the small workspace at its share. */
+START_TEST(a_flooding_workspace_does_not_starve_a_small_one)
 {
-    sched_t *sched = sched_new(&(sched_opts_t){.total_max = ITEMS});
+    sched_t *sched = sched_new(&(sched_opts_t){.total_max = ITEMS_MAX});
     sched_item_t *evicted;
-    for (int i = 0; i < ITEMS - 20; i++) {
+    for (int i = 0; i < ITEMS_MAX - 20; i++) {
         ck_assert(sched_push(sched, item_new("big", 1, 100), &evicted));
     }
     for (int i = 0; i < 10; i++) {
@@ -50,9 +50,9 @@
 }
 END_TEST
 
-START_TEST(shares_weigh_the_order)
+START_TEST(workspaces_are_served_by_their_shares)
 {
-    sched_t *sched = sched_new(&(sched_opts_t){.total_max = ITEMS});
+    sched_t *sched = sched_new(&(sched_opts_t){.total_max = ITEMS_MAX});
     sched_item_t *evicted;
     for (int i = 0; i < 90; i++) {
         ck_assert(sched_push(sched, item_new("three", 3, 10), &evicted));
@@ -70,9 +70,10 @@
 }
 END_TEST
 
-/* A quiet workspace is refused because others have filled the queue.  Past
- * the bound the newest request of the greediest one must go instead. */
-START_TEST(past_the_bound_the_greediest_gives_up_its_newest)
+/* Guards against rejecting a workspace with little load because others have
+ * filled the queue.  When the queue is full, the newest request of the
+ * workspace with the largest backlog must be evicted instead. */
+START_TEST(a_full_queue_evicts_the_newest_of_the_largest_backlog)
 {
     sched_t *sched = sched_new(&(sched_opts_t){.total_max = 10});
     sched_item_t *evicted;
@@ -92,11 +93,11 @@
 }
 END_TEST
 
-/* A small workspace's request waits for seconds although its turn is next.
- * It is taken to think its place over and put back, again and again, and its
- * workspace is charged for a service each time.  Taking and putting back must
- * leave the order as it was. */
-START_TEST(thinking_a_place_over_does_not_cost_the_turn)
+/* Guards against a request that waits for seconds although its turn is next:
+ * it is repeatedly taken to be placed again and put back, and its workspace is
+ * charged as if served each time.  Taking and putting back must leave the
+ * order unchanged. */
+START_TEST(placing_an_item_again_keeps_its_turn)
 {
     sched_t *sched = sched_new(&(sched_opts_t){.total_max = 10});
     sched_item_t *evicted;
@@ -119,7 +120,7 @@
 }
 END_TEST
 
-START_TEST(expired_items_are_found_wherever_they_wait)
+START_TEST(expired_items_are_found_at_any_position)
 {
     sched_t *sched = sched_new(&(sched_opts_t){.total_max = 10});
     sched_item_t *evicted;
@@ -135,11 +136,13 @@
 }
 END_TEST
 
-/* Callers of one frozen replica were told "unknown" although eight others
- * were free: its requests, a ninth of all, had spent a budget of a tenth that
- * began empty.  It begins with room for one lost server; after that it holds
- * retries to a fifth of first tries. */
-START_TEST(retries_are_a_burst_then_a_fifth_of_first_tries)
+/* Guards against a retry budget that one failed server exhausts.  With one of
+ * nine servers frozen, a ninth of all requests need a retry; a budget that
+ * started empty and earned a tenth per request ran out, and callers got the
+ * outcome "unknown" although eight servers were free.  The budget starts with
+ * enough for one failed server, then limits retries to a fifth of first
+ * attempts. */
+START_TEST(retries_are_a_burst_then_a_fifth_of_first_attempts)
 {
     retry_budget_t budget;
     int granted = 0;
@@ -158,9 +161,9 @@
 }
 END_TEST
 
-TEST_MAIN("sched", a_flooding_workspace_does_not_hold_back_a_small_one,
-          shares_weigh_the_order,
-          past_the_bound_the_greediest_gives_up_its_newest,
-          thinking_a_place_over_does_not_cost_the_turn,
-          expired_items_are_found_wherever_they_wait,
-          retries_are_a_burst_then_a_fifth_of_first_tries)
+TEST_MAIN("sched", a_flooding_workspace_does_not_starve_a_small_one,
+          workspaces_are_served_by_their_shares,
+          a_full_queue_evicts_the_newest_of_the_largest_backlog,
+          placing_an_item_again_keeps_its_turn,
+          expired_items_are_found_at_any_position,
+          retries_are_a_burst_then_a_fifth_of_first_attempts)
