--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -3,47 +3,47 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What is done when an answer breaks or falls silent: ask after it, go on
- * with it at the same server, or move it to another one. */
+/* Recovery of a chat whose stream breaks or stops sending: probe its state,
+ * resume it at the same server, or fail over to another one. */
 
-#define PROBE_MS 300
+#define PROBE_TIMEOUT_MS 300
 #define PROBE_FAILURES_MAX 2
-#define RECOVER_MS 5000
-#define RETRY_STEP_MS 100
-#define REDIRECTS_MAX 4
+#define RECOVERY_MAX_MS 5000
+#define RETRY_INTERVAL_MS 100
+#define SAME_SERVER_SENDS_MAX 4
 
-/* No other server has the weights: a stream that has begun cannot change
- * them, so it ends with an error; one that has not begun did not answer. */
+/* End a call that no server can continue.  A stream that has begun cannot
+ * change its weights version, so it is lost; any other call may be retried. */
 static void
-give_up(call_t *call)
+fail_unrecoverable(call_t *call)
 {
     const chat_t *chat = &call->u.chat;
     if (chat->emitted > 0 || chat->resumed) {
         call_fail(call, 502, "stream_lost", OUTCOME_UNKNOWN,
-                  "the stream broke and no backend server can go on with it");
+                  "the stream broke and no backend server can continue it");
         return;
     }
     http_req_reply_header(call->req, "Retry-After", "1");
     call_fail(call, 503, "no_backend", call_outcome_so_far(call),
-              "the backend server failed and no other takes the request");
+              "the backend server failed and no other can take the request");
 }
 
-/* Move the call to another server, which goes on from the prompt and the
- * tokens that are there.  The call's lock is held. */
+/* Fail over to another server, which continues from the prompt and the tokens
+ * so far.  The call's lock is held. */
 void
 chat_fail_over(call_t *call)
 {
     const chat_t *chat = &call->u.chat;
     candidate_t candidate;
     int64_t now = time_mono_ms();
-    /* A resumed stream whose server is gone: the text before the offset is
-     * with the caller only, unless its body brought it along. */
+    /* Without the text so far no other server can continue: of a resumed
+     * stream only the caller has it, unless its request included it. */
     if (chat->has_gap || (chat->emitted > 0 && chat->text.len == 0)) {
-        give_up(call);
+        fail_unrecoverable(call);
         return;
     }
     if (call->recovery_deadline_ms == 0) {
-        call->recovery_deadline_ms = now + RECOVER_MS;
+        call->recovery_deadline_ms = now + RECOVERY_MAX_MS;
     }
     call->retry_at_ms = 0;
     if (dispatch_place(call, &candidate)) {
@@ -53,18 +53,18 @@
         return;
     }
     if (now >= call->recovery_deadline_ms || now >= call->deadline_ms) {
-        give_up(call);
+        fail_unrecoverable(call);
         return;
     }
-    /* All that are open have been tried: they may be tried again. */
+    /* All available servers have been tried; allow them again. */
     call->tried_count = 0;
     call->attempt_number++;
-    call->retry_at_ms = now + RETRY_STEP_MS;
+    call->retry_at_ms = now + RETRY_INTERVAL_MS;
 }
 
-/* A leg is over without the end.  First tries that failed before their first
- * token spend from the retry budget; a stream that is under way does not,
- * since its caller holds half an answer. */
+/* Recover from an attempt that ended before the answer was complete.  A retry
+ * before the first token spends from the retry budget.  A stream with tokens
+ * or a resumed one does not, since its caller has part of an answer. */
 void
 chat_recover(call_t *call, bool same_server)
 {
@@ -85,21 +85,21 @@
     chat_fail_over(call);
 }
 
-/* A server refused the request before it began: place it anew. */
+/* Place a request again that a server rejected before it ran. */
 void
-chat_place_again(call_t *call, bool same_server_too)
+chat_place_again(call_t *call, bool may_use_same_server)
 {
-    if (!same_server_too || call->sent_count > REDIRECTS_MAX) {
+    if (!may_use_same_server || call->sent_count > SAME_SERVER_SENDS_MAX) {
         call_mark_tried(call);
     }
     chat_fail_over(call);
 }
 
-/* Asking after a silent stream goes by a connection of its own, because the
- * one that is silent may be dead to both ends. */
+/* A request for the state of a silent stream.  It uses a new connection,
+ * because the stream's own may be broken without either end noticing. */
 typedef struct {
     call_t *call;
-    unsigned leg;
+    unsigned attempt_number;
     buf_t body;
 } probe_t;
 
@@ -112,46 +112,48 @@
 }
 
 static void
-abandon_leg(call_t *call)
+abandon_attempt(call_t *call)
 {
     http_client_cancel(call->daemon->http_client, call->xfer);
     call_remove_from_view(call);
     call->attempt_number++;
 }
 
-/* What the answer means: the server has sent more than arrived here, so the
- * line is dead; it has nothing new, so it is only slow; it does not know the
- * stream or does not answer, so the stream is lost there. */
+/* Act on the result of a probe.  If the server has sent more than arrived
+ * here or has finished, the connection is broken: resume the stream.  If it
+ * has nothing new, it is only slow: wait.  If it does not know the stream, or
+ * several probes in a row fail, the stream is lost there: fail over. */
 static void
-probe_judge(call_t *call, const probe_t *probe, http_end_t end, int status)
+probe_handle_result(call_t *call, const probe_t *probe, http_end_t end,
+                    int status)
 {
     CLEAN_JSON json_t *reply =
         json_loadb(buf_text(&probe->body), probe->body.len, 0, NULL);
-    bool told = end == HTTP_END_WHOLE && status == 200;
-    if (told && (json_int(reply, "emitted", 0) > call->u.chat.emitted ||
-                 json_flag(reply, "done"))) {
+    bool known = end == HTTP_END_WHOLE && status == 200;
+    if (known && (json_int(reply, "emitted", 0) > call->u.chat.emitted ||
+                  json_flag(reply, "done"))) {
         call_emit_event(call, "line-silent", NULL);
-        abandon_leg(call);
+        abandon_attempt(call);
         chat_recover(call, true);
         return;
     }
-    if (told) {
+    if (known) {
         view_succeeded(call->daemon->view, call->backend_id);
         call->probe_failures = 0;
         call->last_activity_us = time_mono_us();
         return;
     }
     call->probe_failures++;
-    bool unknown_there = end == HTTP_END_WHOLE;
-    /* Each probe without an answer counts, so that a few streams on a frozen
-     * server open its circuit before more requests are sent there. */
-    if (!unknown_there) {
+    bool stream_unknown = end == HTTP_END_WHOLE;
+    /* Each failed probe counts as a failure, so that a few streams on a frozen
+     * server open its circuit breaker before more requests are sent there. */
+    if (!stream_unknown) {
         view_failed(call->daemon->view, call->backend_id, time_mono_ms());
     }
-    if (unknown_there || call->probe_failures >= PROBE_FAILURES_MAX) {
+    if (stream_unknown || call->probe_failures >= PROBE_FAILURES_MAX) {
         call_emit_event(call, "server-silent", NULL);
         call->may_have_run = true;
-        abandon_leg(call);
+        abandon_attempt(call);
         chat_recover(call, false);
     }
 }
@@ -163,8 +165,9 @@
     call_t *call = probe->call;
     (void)pthread_mutex_lock(&call->lock);
     call->probing = false;
-    if (probe->leg == call->attempt_number && call->phase != CALL_ENDED) {
-        probe_judge(call, probe, end, status);
+    if (probe->attempt_number == call->attempt_number &&
+        call->phase != CALL_ENDED) {
+        probe_handle_result(call, probe, end, status);
     }
     (void)pthread_mutex_unlock(&call->lock);
     buf_free(&probe->body);
@@ -180,21 +183,22 @@
     call_hold(call);
     call->probing = true;
     probe->call = call;
-    probe->leg = call->attempt_number;
+    probe->attempt_number = call->attempt_number;
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?status=1",
                    call->addr, call->stream_id);
-    http_call_t ask = {.method = "GET",
-                       .url = url,
-                       .connect_ms = PROBE_MS,
-                       .total_ms = PROBE_MS,
-                       .fresh = true,
-                       .on_data = probe_on_data,
-                       .on_end = probe_on_end,
-                       .arg = probe};
-    (void)http_client_start(call->daemon->http_client, &ask);
+    http_call_t request = {.method = "GET",
+                           .url = url,
+                           .connect_ms = PROBE_TIMEOUT_MS,
+                           .total_ms = PROBE_TIMEOUT_MS,
+                           .fresh = true,
+                           .on_data = probe_on_data,
+                           .on_end = probe_on_end,
+                           .arg = probe};
+    (void)http_client_start(call->daemon->http_client, &request);
 }
 
-/* Called every few milliseconds for each chat that is with a server. */
+/* Retry a pending failover, or probe the stream if it has been silent for too
+ * long.  Called periodically for each chat. */
 void
 chat_tick(call_t *call, int64_t now_us)
 {
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -4,37 +4,37 @@
 #include <string.h>
 #include <strings.h>
 
-/* Calls to plain services.  One that may not be repeated is sent at most
- * once: with a key, by a claim in the log that no other host can win too;
- * without one, simply by never being sent a second time. */
+/* Calls to plain services.  A call that is not idempotent runs at most once.
+ * With an idempotency key, only the host whose claim in the claim log was
+ * granted sends it; without one, it is never sent a second time. */
 
-#define CONNECT_MS 300
-#define REPLY_MAX (4 << 20)
-#define CLAIM_WAIT_MS 2000
-#define RECORD_WAIT_MS 600000
+#define CONNECT_TIMEOUT_MS 300
+#define REPLY_BYTES_MAX (4 << 20)
+#define CLAIM_TIMEOUT_MS 2000
+#define RECORD_TIMEOUT_MS 600000
 #define OUTCOME_HEADER "X-Celeryspool-Outcome"
-#define SERVICES "/v1/services/"
-#define KEY_MAX 255
+#define SERVICES_PATH "/v1/services/"
+#define KEY_BYTES_MAX 255
 #define JSON_TYPE "application/json"
 
-/* One exchange with a service. */
+/* One attempt: one exchange with a server of the service. */
 typedef struct {
     call_t *call;
     unsigned number;
-} exchange_t;
+} attempt_t;
 
 static void
 on_data(void *arg, int status, const char *data, size_t len)
 {
     (void)status;
-    exchange_t *exchange = arg;
-    call_t *call = exchange->call;
+    attempt_t *attempt = arg;
+    call_t *call = attempt->call;
     LOCK_SCOPE(&call->lock);
     service_call_t *service = &call->u.service;
-    if (exchange->number != call->attempt_number) {
+    if (attempt->number != call->attempt_number) {
         return;
     }
-    if (service->reply.len + len > REPLY_MAX) {
+    if (service->reply.len + len > REPLY_BYTES_MAX) {
         service->overflow = true;
         return;
     }
@@ -44,17 +44,17 @@
 static void
 on_header(void *arg, const char *name, const char *value)
 {
-    exchange_t *exchange = arg;
-    call_t *call = exchange->call;
+    attempt_t *attempt = arg;
+    call_t *call = attempt->call;
     LOCK_SCOPE(&call->lock);
-    if (exchange->number == call->attempt_number &&
+    if (attempt->number == call->attempt_number &&
         strcasecmp(name, "Content-Type") == 0) {
         str_copy(call->u.service.reply_content_type,
                  sizeof(call->u.service.reply_content_type), value);
     }
 }
 
-/* Note in the claim log what came of a claimed call.  The call's lock is
+/* Record the outcome of a claimed call in the claim log.  The call's lock is
  * held. */
 void
 service_record_outcome(call_t *call, claim_kind_t kind, int status)
@@ -67,7 +67,7 @@
     claim_op_t *op =
         claim_op_new(kind, service->claim_key, service->claim_token);
     op->status = status;
-    op->deadline_ms = time_mono_ms() + RECORD_WAIT_MS;
+    op->deadline_ms = time_mono_ms() + RECORD_TIMEOUT_MS;
     op->ready_ms = time_mono_ms() + CLAIM_RECORD_DELAY_MS;
     if (kind == CLAIM_OP_DONE && !service->overflow &&
         service->reply.len <= CLAIM_BODY_KEPT &&
@@ -78,7 +78,7 @@
 }
 
 static void
-answer(call_t *call, int status)
+send_reply(call_t *call, int status)
 {
     const service_call_t *service = &call->u.service;
     http_req_reply_header(call->req, OUTCOME_HEADER,
@@ -91,18 +91,18 @@
     call_end(call, OUTCOME_DONE);
 }
 
-/* The service has run, but its answer cannot be passed on whole. */
+/* The service ran, but its reply is too long to pass on. */
 static void
-answer_too_long(call_t *call)
+fail_reply_too_long(call_t *call)
 {
     call_fail(call, 502, "answer_too_long", OUTCOME_DONE,
-              "the call ran; its answer is longer than the router passes on");
+              "the call ran, but its reply exceeds the size limit");
 }
 
-/* Try another server, which is allowed where no byte was sent or where the
- * service may be asked again. */
+/* Try another server, which is allowed if no byte was sent or if the call is
+ * idempotent. */
 static void
-try_elsewhere(call_t *call, bool sent)
+try_another_server(call_t *call, bool sent)
 {
     candidate_t candidate;
     call_mark_tried(call);
@@ -122,7 +122,7 @@
 }
 
 static void
-ended(call_t *call, http_end_t end, int status)
+handle_end(call_t *call, http_end_t end, int status)
 {
     const service_call_t *service = &call->u.service;
     call_remove_from_view(call);
@@ -130,20 +130,20 @@
         view_succeeded(call->daemon->view, call->backend_id);
         service_record_outcome(call, CLAIM_OP_DONE, status);
         if (service->overflow) {
-            answer_too_long(call);
+            fail_reply_too_long(call);
             return;
         }
-        answer(call, status);
+        send_reply(call, status);
         return;
     }
     view_failed(call->daemon->view, call->backend_id, time_mono_ms());
     call->may_have_run = call->may_have_run || end != HTTP_END_UNSENT;
     if (end == HTTP_END_UNSENT || service->idempotent) {
-        try_elsewhere(call, end != HTTP_END_UNSENT);
+        try_another_server(call, end != HTTP_END_UNSENT);
         return;
     }
-    /* It may have run.  The claim stays without outcome, so that every other
-     * attempt with this key is told the same. */
+    /* The call may have run.  Its claim keeps no outcome, so that a repeat
+     * with this key is not sent but answered that the outcome is unknown. */
     call_fail(call, 502, "outcome_unknown", OUTCOME_UNKNOWN,
               "the connection broke after the call was sent; it may have run");
 }
@@ -151,59 +151,59 @@
 static void
 on_end(void *arg, http_end_t end, int status)
 {
-    exchange_t *exchange = arg;
-    call_t *call = exchange->call;
+    attempt_t *attempt = arg;
+    call_t *call = attempt->call;
     celeryspoold_t *daemon = call->daemon;
     (void)pthread_mutex_lock(&call->lock);
-    if (exchange->number == call->attempt_number &&
-        call->phase != CALL_ENDED) {
-        ended(call, end, status);
+    if (attempt->number == call->attempt_number && call->phase != CALL_ENDED) {
+        handle_end(call, end, status);
     }
     (void)pthread_mutex_unlock(&call->lock);
     call_release(call);
-    free(exchange);
+    free(attempt);
     dispatch_run(daemon);
 }
 
 static void
-launch(call_t *call)
+send_request(call_t *call)
 {
     CLEAN_BUF buf_t url = {0};
     char type[sizeof(call->u.service.content_type) + 16];
     service_call_t *service = &call->u.service;
-    exchange_t *exchange = mem_zalloc(sizeof(*exchange));
+    attempt_t *attempt = mem_zalloc(sizeof(*attempt));
     call_hold(call);
-    exchange->call = call;
-    exchange->number = ++call->attempt_number;
-    int64_t left = call->deadline_ms - time_mono_ms();
+    attempt->call = call;
+    attempt->number = ++call->attempt_number;
+    int64_t remaining_ms = call->deadline_ms - time_mono_ms();
     buf_fmt(&url, "http://%s%s", call->addr,
             buf_text(&service->request_target));
     (void)snprintf(
         type, sizeof(type), "Content-Type: %s",
         service->content_type[0] == '\0' ? JSON_TYPE : service->content_type);
-    http_call_t ask = {.method = service->method,
-                       .url = buf_text(&url),
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = (int)(left < 1 ? 1 : left),
-                       .fresh = !service->idempotent,
-                       .on_header = on_header,
-                       .on_data = on_data,
-                       .on_end = on_end,
-                       .arg = exchange};
+    http_call_t request = {
+        .method = service->method,
+        .url = buf_text(&url),
+        .connect_ms = CONNECT_TIMEOUT_MS,
+        .total_ms = (int)(remaining_ms < 1 ? 1 : remaining_ms),
+        .fresh = !service->idempotent,
+        .on_header = on_header,
+        .on_data = on_data,
+        .on_end = on_end,
+        .arg = attempt};
     if (service->body.len > 0) {
-        ask.body = buf_text(&service->body);
-        ask.body_len = service->body.len;
+        request.body = buf_text(&service->body);
+        request.body_len = service->body.len;
     }
-    ask.headers[0] = type;
-    call->xfer = http_client_start(call->daemon->http_client, &ask);
+    request.headers[0] = type;
+    call->xfer = http_client_start(call->daemon->http_client, &request);
 }
 
 /* Send a service call to the chosen server.  The call's lock is held. */
 void
 service_attempt_start(call_t *call, const candidate_t *candidate)
 {
-    /* The last step before the call leaves: a host that was frozen since the
-     * claim may find that its caller's time is over. */
+    /* Checked right before the call is sent: the deadline may have passed if
+     * the host was frozen since the claim. */
     if (time_mono_ms() >= call->deadline_ms) {
         call_reject(call, 504, "deadline", 1,
                     "the deadline passed before the call was sent");
@@ -224,11 +224,11 @@
                           .workspace = call->workspace,
                           .backend = call->backend,
                           .sent = call->u.service.claim_token});
-    launch(call);
+    send_request(call);
 }
 
 static void
-replay(call_t *call, const claim_op_t *op)
+replay_outcome(call_t *call, const claim_op_t *op)
 {
     http_req_reply_header(call->req, "Idempotent-Replayed", "true");
     http_req_reply_header(call->req, OUTCOME_HEADER,
@@ -240,14 +240,14 @@
     else {
         CLEAN_JSON json_t *body =
             json_pack("{s:s,s:i,s:s}", "outcome", "done", "status", op->status,
-                      "note", "the answer was too long to be kept");
+                      "note", "the reply was too long to be stored");
         http_req_reply_json(call->req, 200, body);
     }
     call_end(call, OUTCOME_DONE);
 }
 
-/* What the claim log says decides: send, repeat what came of it, or tell
- * that it is not known. */
+/* Act on the result of a claim: send the call, replay the recorded outcome, or
+ * answer that the outcome is unknown. */
 static void
 on_claim(claim_op_t *op, void *arg)
 {
@@ -262,19 +262,19 @@
             call_release(call);
             return;
         case CLAIM_DONE:
-            replay(call, op);
+            replay_outcome(call, op);
             break;
         case CLAIM_TAKEN:
             http_req_reply_header(call->req, "Retry-After", "1");
             call_fail(call, 409, "in_progress", OUTCOME_UNKNOWN,
-                      "another attempt with this key has been sent and its "
+                      "another call with this key has been sent and its "
                       "outcome is not known yet");
             break;
         case CLAIM_UNAVAILABLE:
         case CLAIM_PENDING:
         case CLAIM_RECORDED:
             call_reject(call, 503, "claims_unavailable", 2,
-                        "the platform's store cannot be asked now");
+                        "the platform's store is not available");
             break;
     }
     (void)pthread_mutex_unlock(&call->lock);
@@ -282,13 +282,13 @@
 }
 
 static void
-claim(call_t *call)
+submit_claim(call_t *call)
 {
     service_call_t *service = &call->u.service;
     int64_t now = time_mono_ms();
     claim_op_t *op =
         claim_op_new(CLAIM_OP_CLAIM, service->claim_key, service->claim_token);
-    op->deadline_ms = now + CLAIM_WAIT_MS;
+    op->deadline_ms = now + CLAIM_TIMEOUT_MS;
     if (op->deadline_ms > call->deadline_ms) {
         op->deadline_ms = call->deadline_ms;
     }
@@ -299,7 +299,7 @@
 }
 
 static bool
-may_repeat(const service_t *service, const char *method)
+is_idempotent(const service_t *service, const char *method)
 {
     return service->idempotent || strcmp(method, "GET") == 0;
 }
@@ -310,41 +310,42 @@
                const workspace_t *workspace, const config_t *config)
 {
     char name[CS_NAME_MAX];
-    const char *from = http_req_path(req) + strlen(SERVICES);
-    size_t len = strcspn(from, "/");
+    const char *path = http_req_path(req) + strlen(SERVICES_PATH);
+    size_t len = strcspn(path, "/");
     const char *key = http_req_header(req, "Idempotency-Key");
     size_t body_len;
     const char *body = http_req_body(req, &body_len);
-    str_copy(name, len + 1 < sizeof(name) ? len + 1 : sizeof(name), from);
+    str_copy(name, len + 1 < sizeof(name) ? len + 1 : sizeof(name), path);
     const service_t *service = config_service(config, name);
     http_req_reply_header(req, "X-Celeryspool-Service", name);
-    if (service == NULL || (key != NULL && strlen(key) > KEY_MAX)) {
+    if (service == NULL || (key != NULL && strlen(key) > KEY_BYTES_MAX)) {
         http_req_reply_header(req, OUTCOME_HEADER,
                               outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(
             req, service == NULL ? 404 : 400,
             service == NULL ? "unknown_service" : "bad_key",
-            service == NULL ? "service %.64s is not declared"
-                            : "Idempotency-Key of %.64s is over 255 bytes",
+            service == NULL
+                ? "service %.64s is not declared"
+                : "Idempotency-Key for %.64s is longer than 255 bytes",
             name);
         return;
     }
     call_t *call = call_new(daemon, req, CALL_SERVICE, workspace, name);
-    service_call_t *mine = &call->u.service;
-    mine->method = strdup(http_req_method(req));
-    buf_str(&mine->request_target, from[len] == '\0' ? "/" : "");
-    http_req_target(req, strlen(SERVICES) + len, &mine->request_target);
-    str_copy(mine->content_type, sizeof(mine->content_type),
+    service_call_t *state = &call->u.service;
+    state->method = strdup(http_req_method(req));
+    buf_str(&state->request_target, path[len] == '\0' ? "/" : "");
+    http_req_target(req, strlen(SERVICES_PATH) + len, &state->request_target);
+    str_copy(state->content_type, sizeof(state->content_type),
              http_req_header(req, "Content-Type"));
-    buf_add(&mine->body, body, body_len);
-    mine->idempotent = may_repeat(service, mine->method);
+    buf_add(&state->body, body, body_len);
+    state->idempotent = is_idempotent(service, state->method);
     call->queue_item.cost = 1;
-    id_random(mine->claim_token);
+    id_random(state->claim_token);
     retry_budget_earn(&daemon->retry_budget);
     call_emit_event(call, "received", key);
-    if (key != NULL && !mine->idempotent) {
-        claim_key(workspace->name, name, key, mine->claim_key);
-        claim(call);
+    if (key != NULL && !state->idempotent) {
+        claim_key(workspace->name, name, key, state->claim_key);
+        submit_claim(call);
     }
     else {
         dispatch_submit(call);
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -4,14 +4,14 @@
 #include <string.h>
 #include <strings.h>
 
-/* The backend servers' side of a chat: one leg is one exchange with one
- * server.  Every callback names its leg; a leg that is not the newest has
- * been given up and changes nothing, so late or crossed bytes of an older
+/* The backend server's side of a chat.  An attempt is one exchange with one
+ * server.  Each callback carries its attempt; one that is not the current
+ * attempt has been abandoned and changes nothing, so late bytes of an older
  * exchange cannot reach the caller. */
 
-#define CONNECT_MS 300
-#define ERROR_BODY_MAX 2048
-#define BACKLOG_MAX (8 << 20)
+#define CONNECT_TIMEOUT_MS 300
+#define ERROR_BODY_BYTES_MAX 2048
+#define BACKLOG_BYTES_MAX (8 << 20)
 
 typedef struct {
     call_t *call;
@@ -19,60 +19,61 @@
     char incarnation[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
     buf_t error;
-    bool checked;
-    bool wrong; /* another version or incarnation than this leg is for */
+    bool identity_checked;
+    bool mismatch; /* the server has another version or incarnation */
     bool resume;
-} leg_t;
+} attempt_t;
 
-static leg_t *
-leg_new(call_t *call, bool resume)
+static attempt_t *
+attempt_new(call_t *call, bool resume)
 {
-    leg_t *leg = mem_zalloc(sizeof(*leg));
+    attempt_t *attempt = mem_zalloc(sizeof(*attempt));
     call_hold(call);
-    leg->call = call;
-    leg->number = ++call->attempt_number;
-    leg->resume = resume;
+    attempt->call = call;
+    attempt->number = ++call->attempt_number;
+    attempt->resume = resume;
     call->first_token_received = false;
     call->last_activity_us = time_mono_us();
     call->probe_failures = 0;
     buf_free(&call->u.chat.sse_pending);
-    return leg;
+    return attempt;
 }
 
 static void
-leg_free(leg_t *leg)
+attempt_free(attempt_t *attempt)
 {
-    call_release(leg->call);
-    buf_free(&leg->error);
-    free(leg);
+    call_release(attempt->call);
+    buf_free(&attempt->error);
+    free(attempt);
 }
 
 static void
 on_header(void *arg, const char *name, const char *value)
 {
-    leg_t *leg = arg;
+    attempt_t *attempt = arg;
     if (strcasecmp(name, "X-Engine-Incarnation") == 0) {
-        str_copy(leg->incarnation, sizeof(leg->incarnation), value);
+        str_copy(attempt->incarnation, sizeof(attempt->incarnation), value);
     }
     else if (strcasecmp(name, "X-Model-Version") == 0) {
-        str_copy(leg->version, sizeof(leg->version), value);
+        str_copy(attempt->version, sizeof(attempt->version), value);
     }
 }
 
-/* Before the first byte is used: is this the engine, with the weights, that
- * the leg was meant for?  Otherwise the leg is thrown away whole. */
+/* Check, before the first byte is used, that the engine has the weights
+ * version of the call, if it reports one, and for a resume also the same
+ * incarnation.  Otherwise all data of the attempt is discarded. */
 static void
-check_identity(call_t *call, leg_t *leg)
+check_identity(call_t *call, attempt_t *attempt)
 {
-    leg->checked = true;
-    bool other_version =
-        leg->version[0] != '\0' && strcmp(leg->version, call->version) != 0;
-    bool other_life =
-        leg->resume && strcmp(leg->incarnation, call->incarnation) != 0;
-    leg->wrong = other_version || other_life;
-    if (!leg->wrong) {
+    attempt->identity_checked = true;
+    bool other_version = attempt->version[0] != '\0' &&
+                         strcmp(attempt->version, call->version) != 0;
+    bool other_incarnation = attempt->resume && strcmp(attempt->incarnation,
+                                                       call->incarnation) != 0;
+    attempt->mismatch = other_version || other_incarnation;
+    if (!attempt->mismatch) {
         str_copy(call->incarnation, sizeof(call->incarnation),
-                 leg->incarnation);
+                 attempt->incarnation);
     }
 }
 
@@ -90,10 +91,10 @@
                 call->u.chat.resume_token);
 }
 
-/* The first thing that a leg brings: open the caller's stream, and learn
- * from how long it took. */
+/* Handle the first token of an attempt: report the time that it took to the
+ * view, seal the resume token and open the caller's stream. */
 static void
-note_start(call_t *call)
+handle_first_token(call_t *call)
 {
     chat_t *chat = &call->u.chat;
     int64_t now = time_mono_us();
@@ -115,10 +116,10 @@
     }
 }
 
-/* Pass one event on, under an id by which its caller can come back.  It goes
+/* Pass an event on to the caller with an id for Last-Event-ID.  It is written
  * in one piece, since each write may wake the caller's connection. */
 static void
-emit(call_t *call, const char *data, size_t len)
+write_event(call_t *call, const char *data, size_t len)
 {
     chat_t *chat = &call->u.chat;
     buf_t *out = &chat->event_out;
@@ -130,7 +131,7 @@
 }
 
 static void
-take_usage(chat_t *chat, const json_t *usage)
+parse_usage(chat_t *chat, const json_t *usage)
 {
     const json_t *details = json_object_get(usage, "prompt_tokens_details");
     if (usage == NULL || chat->prompt_tokens > 0) {
@@ -140,17 +141,18 @@
     chat->cached_tokens = (uint32_t)json_int(details, "cached_tokens", 0);
 }
 
-/* One event of the upstream: a token, the usage at the end, or [DONE]. */
+/* Handle an upstream event: a token, the usage at the end, or [DONE]. */
 static void
-take_event(call_t *call, const char *line, size_t len)
+handle_event(call_t *call, const char *event_line, size_t len)
 {
-    static const char mark[] = "data: ";
+    static const char data_prefix[] = "data: ";
     chat_t *chat = &call->u.chat;
-    if (len < sizeof(mark) - 1 || memcmp(line, mark, sizeof(mark) - 1) != 0) {
+    if (len < sizeof(data_prefix) - 1 ||
+        memcmp(event_line, data_prefix, sizeof(data_prefix) - 1) != 0) {
         return;
     }
-    const char *data = line + sizeof(mark) - 1;
-    size_t data_len = len - (sizeof(mark) - 1);
+    const char *data = event_line + sizeof(data_prefix) - 1;
+    size_t data_len = len - (sizeof(data_prefix) - 1);
     if (data_len == 6 && memcmp(data, "[DONE]", 6) == 0) {
         chat->finished = !chat->has_gap;
         return;
@@ -160,19 +162,19 @@
         json_array_get(json_object_get(event, "choices"), 0);
     const char *content =
         json_text(json_object_get(choice, "delta"), "content");
-    take_usage(chat, json_object_get(event, "usage"));
+    parse_usage(chat, json_object_get(event, "usage"));
     if (content == NULL) {
         return;
     }
     int64_t index = json_int(event, "token_index", chat->emitted);
-    /* Tokens that the caller has already are passed over; one that is ahead
-     * means that some are missing, and the answer must not look whole. */
+    /* Tokens that the caller already has are skipped.  An index that is ahead
+     * means that tokens are missing: the answer must not look complete. */
     chat->has_gap = chat->has_gap || index > (int64_t)chat->emitted;
     if (index != (int64_t)chat->emitted) {
         return;
     }
     if (!call->first_token_received) {
-        note_start(call);
+        handle_first_token(call);
     }
     else {
         series_observe(call->series, METRIC_GAP,
@@ -181,11 +183,11 @@
     chat->emitted++;
     buf_str(&chat->text, content);
     if (chat->stream) {
-        emit(call, line, len);
+        write_event(call, event_line, len);
     }
 }
 
-/* Take upstream bytes, event by event. */
+/* Feed in bytes from upstream; each complete event is handled. */
 void
 chat_feed(call_t *call, const char *data, size_t len)
 {
@@ -198,7 +200,7 @@
         if (end == NULL) {
             break;
         }
-        take_event(call, from, (size_t)(end - from));
+        handle_event(call, from, (size_t)(end - from));
         at += (size_t)(end - from) + 2;
     }
     buf_drop(&chat->sse_pending, at);
@@ -208,27 +210,27 @@
 static void
 on_data(void *arg, int status, const char *data, size_t len)
 {
-    leg_t *leg = arg;
-    call_t *call = leg->call;
+    attempt_t *attempt = arg;
+    call_t *call = attempt->call;
     LOCK_SCOPE(&call->lock);
-    if (leg->number != call->attempt_number || call->phase == CALL_ENDED) {
+    if (attempt->number != call->attempt_number || call->phase == CALL_ENDED) {
         return;
     }
     if (status != 200) {
-        if (leg->error.len + len < ERROR_BODY_MAX) {
-            buf_add(&leg->error, data, len);
+        if (attempt->error.len + len < ERROR_BODY_BYTES_MAX) {
+            buf_add(&attempt->error, data, len);
         }
         return;
     }
-    if (!leg->checked) {
-        check_identity(call, leg);
+    if (!attempt->identity_checked) {
+        check_identity(call, attempt);
     }
-    if (leg->wrong) {
+    if (attempt->mismatch) {
         return;
     }
     chat_feed(call, data, len);
     if (http_req_gone(call->req) ||
-        http_req_backlog(call->req) > BACKLOG_MAX) {
+        http_req_backlog(call->req) > BACKLOG_BYTES_MAX) {
         call_emit_event(call, "caller-gone", NULL);
         http_client_cancel(call->daemon->http_client, call->xfer);
         call_fail(call, 499, "caller_gone", OUTCOME_UNKNOWN,
@@ -237,14 +239,14 @@
 }
 
 static void
-learn(call_t *call)
+record_cached_prefix(call_t *call)
 {
     const chat_t *chat = &call->u.chat;
     celeryspoold_t *daemon = call->daemon;
     for (unsigned i = 0; i < chat->prefix.count; i++) {
         const prefix_level_t *level = &chat->prefix.levels[i];
-        /* The last level is this request's own; peers learn of it only if
-         * others follow it, as a further level of theirs. */
+        /* The last level is specific to this request.  Peers receive it only
+         * when a later request has it as an inner level. */
         bool shared = i + 1 < chat->prefix.count;
         if (cache_map_note(daemon->cache, call->backend_id, level->key,
                            level->tokens) &&
@@ -262,42 +264,43 @@
            status != 409 && status != 429;
 }
 
-/* The engine answered that it has not begun the request: it has other
- * weights than were believed, is loading some, or is full. */
+/* Whether the engine rejected the request before running it: it has another
+ * weights version than expected, is loading one, or is full. */
 static bool
-is_refusal(int status)
+is_rejection(int status)
 {
     return status == 409 || status == 429 || status == 503;
 }
 
-/* A refusal costs nothing from the retry budget, for nothing ran.  A server
- * that only has other weights may be asked again, by what it has. */
+/* Place a rejected request again.  This spends nothing from the retry budget,
+ * since nothing ran.  A server that only has another weights version may be
+ * chosen again, by that version. */
 static void
-leg_refused(call_t *call, const leg_t *leg, int status)
+handle_rejection(call_t *call, const attempt_t *attempt, int status)
 {
     celeryspoold_t *daemon = call->daemon;
-    call_emit_event(call, "leg-refused", buf_text(&leg->error));
+    call_emit_event(call, "leg-refused", buf_text(&attempt->error));
     call_remove_from_view(call);
-    bool other_weights = status == 409 && leg->version[0] != '\0';
+    bool other_weights = status == 409 && attempt->version[0] != '\0';
     if (other_weights) {
-        view_version(daemon->view, call->backend_id, leg->version);
+        view_version(daemon->view, call->backend_id, attempt->version);
         cache_map_forget(daemon->cache, call->backend_id);
     }
     chat_place_again(call, other_weights);
 }
 
-/* A leg ended without the end of the answer. */
+/* Handle an attempt that ended before the answer was complete. */
 static void
-leg_broke(call_t *call, leg_t *leg, http_end_t end, int status)
+handle_failure(call_t *call, attempt_t *attempt, http_end_t end, int status)
 {
     bool answered = end == HTTP_END_WHOLE;
     if (answered && is_client_error(status)) {
         call_fail(call, status, "refused_by_engine", OUTCOME_NOT_RUN,
-                  buf_text(&leg->error));
+                  buf_text(&attempt->error));
         return;
     }
-    if (answered && is_refusal(status) && !leg->resume) {
-        leg_refused(call, leg, status);
+    if (answered && is_rejection(status) && !attempt->resume) {
+        handle_rejection(call, attempt, status);
         return;
     }
     if (!answered) {
@@ -309,45 +312,45 @@
                     : answered             ? "refused"
                                            : "cut");
     call_remove_from_view(call);
-    bool resumable = !leg->resume && !leg->wrong && end == HTTP_END_CUT &&
-                     call->first_token_received;
+    bool resumable = !attempt->resume && !attempt->mismatch &&
+                     end == HTTP_END_CUT && call->first_token_received;
     chat_recover(call, resumable);
 }
 
 static void
 on_end(void *arg, http_end_t end, int status)
 {
-    leg_t *leg = arg;
-    call_t *call = leg->call;
+    attempt_t *attempt = arg;
+    call_t *call = attempt->call;
     celeryspoold_t *daemon = call->daemon;
     (void)pthread_mutex_lock(&call->lock);
-    if (leg->number == call->attempt_number && call->phase != CALL_ENDED) {
+    if (attempt->number == call->attempt_number && call->phase != CALL_ENDED) {
         if (call->u.chat.finished) {
-            learn(call);
+            record_cached_prefix(call);
             chat_finish(call);
         }
         else {
-            leg_broke(call, leg, end, status);
+            handle_failure(call, attempt, end, status);
         }
     }
     (void)pthread_mutex_unlock(&call->lock);
-    leg_free(leg);
+    attempt_free(attempt);
     dispatch_run(daemon);
 }
 
-/* Fair order must hold in the engine's queue too: between workspaces of equal
- * priority, one that keeps within its share, and so has nothing waiting here,
- * goes before one with a backlog. */
+/* The priority in the engine's queue, which must be fair too: among workspaces
+ * of equal priority, one within its share, which has nothing queued here, goes
+ * before one with a backlog. */
 static int
 engine_priority(const call_t *call)
 {
     return call->priority * 2 + (call->queue_item.first ? 1 : 0);
 }
 
-/* The body for an engine: the caller's, with what is ours added, and behind
- * the messages the part of the answer that is there already. */
+/* The request body for an engine: the caller's with the router's own fields,
+ * and the answer so far as the last message, to be continued. */
 static char *
-upstream_body(call_t *call)
+build_upstream_body(call_t *call)
 {
     chat_t *chat = &call->u.chat;
     CLEAN_JSON json_t *body = json_copy(chat->body);
@@ -370,22 +373,22 @@
 }
 
 static void
-leg_launch(call_t *call, leg_t *leg, const char *method, const char *url,
-           const char *body)
+attempt_send(call_t *call, attempt_t *attempt, const char *method,
+             const char *url, const char *body)
 {
-    http_call_t ask = {.method = method,
-                       .url = url,
-                       .body = body,
-                       .body_len = body == NULL ? 0 : strlen(body),
-                       .connect_ms = CONNECT_MS,
-                       .fresh = leg->resume,
-                       .on_header = on_header,
-                       .on_data = on_data,
-                       .on_end = on_end,
-                       .arg = leg};
-    ask.headers[0] = "Content-Type: application/json";
-    ask.headers[1] = "Accept: text/event-stream";
-    call->xfer = http_client_start(call->daemon->http_client, &ask);
+    http_call_t request = {.method = method,
+                           .url = url,
+                           .body = body,
+                           .body_len = body == NULL ? 0 : strlen(body),
+                           .connect_ms = CONNECT_TIMEOUT_MS,
+                           .fresh = attempt->resume,
+                           .on_header = on_header,
+                           .on_data = on_data,
+                           .on_end = on_end,
+                           .arg = attempt};
+    request.headers[0] = "Content-Type: application/json";
+    request.headers[1] = "Accept: text/event-stream";
+    call->xfer = http_client_start(call->daemon->http_client, &request);
 }
 
 /* Send a chat to the chosen server.  The call's lock is held. */
@@ -394,7 +397,7 @@
 {
     char url[CS_ADDR_MAX + 64];
     const chat_t *chat = &call->u.chat;
-    leg_t *leg = leg_new(call, false);
+    attempt_t *attempt = attempt_new(call, false);
     call->backend_id = candidate->id;
     call->sent_count++;
     call->sent_us = time_mono_us();
@@ -406,9 +409,9 @@
     call->phase = chat->emitted > 0 ? call->phase : CALL_SENT;
     call->counted_in_view = true;
     view_sent(call->daemon->view, call->backend_id, call->uncached_tokens);
-    /* The server will hold these levels once it has begun, so requests that
-     * come right behind should go there too. */
-    learn(call);
+    /* The server will cache these levels once it has started, so requests that
+     * follow immediately should already go there. */
+    record_cached_prefix(call);
     id_random(call->stream_id);
     call_emit_event(call, "placed", call->placement_reason);
     event_emit(&(event_t){.kind = "sent",
@@ -416,24 +419,24 @@
                           .workspace = call->workspace,
                           .backend = call->backend,
                           .sent = call->stream_id});
-    CLEAN_TEXT char *body = upstream_body(call);
+    CLEAN_TEXT char *body = build_upstream_body(call);
     (void)snprintf(url, sizeof(url), "http://%s/v1/chat/completions",
                    call->addr);
-    leg_launch(call, leg, "POST", url, body);
+    attempt_send(call, attempt, "POST", url, body);
 }
 
-/* Go on with the stream at the same server, on a new connection.  The call's
- * lock is held. */
+/* Resume the stream at the same server, on a new connection.  The call's lock
+ * is held. */
 void
 chat_attempt_resume(call_t *call)
 {
     char url[CS_ADDR_MAX + 128];
-    leg_t *leg = leg_new(call, true);
-    /* From now on the stream is watched, also if its server is frozen. */
+    attempt_t *attempt = attempt_new(call, true);
+    /* In this phase chat_tick probes the stream, also if its server hangs. */
     call->phase = call->phase == CALL_QUEUED ? CALL_SENT : call->phase;
     series_count(call->series, METRIC_RESUMED, 1);
     call_emit_event(call, "resumed", NULL);
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?offset=%u",
                    call->addr, call->stream_id, call->u.chat.emitted);
-    leg_launch(call, leg, "GET", url, NULL);
+    attempt_send(call, attempt, "GET", url, NULL);
 }
--- a/kernel/resume.c
+++ b/kernel/resume.c
@@ -4,12 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The state of a stream lives with its caller: each event's id is a sealed
- * token and an offset, by which any daemon can go on after another's death. */
+/* Resume tokens.  The state of a stream is kept by its caller: each event's id
+ * is a sealed token and an offset, with which any daemon can resume the stream
+ * if the one that served it fails. */
 
 #define MAC_BYTES 16
-#define RAW_MAX 400
-#define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define RAW_BYTES_MAX 400
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
 static void
 mac(unsigned char out[MAC_BYTES], const unsigned char *secret,
@@ -23,8 +24,9 @@
     (void)crypto_generichash_final(&state, out, MAC_BYTES);
 }
 
-/* The salt that separates the engines' caches by workspace and model.  It is
- * derived from the deployment's secret, so that no caller can guess it. */
+/* The salt that separates the engines' prefix caches by workspace and
+ * model.  It is derived from the deployment's secret, so that no caller can
+ * guess it. */
 void
 cache_salt(const unsigned char *secret, const char *workspace,
            const char *model, char out[CS_ID_LEN + 1])
@@ -36,23 +38,24 @@
     (void)sodium_bin2hex(out, CS_ID_LEN + 1, raw, sizeof(raw));
 }
 
-/* Seal what a stream is into text; ".OFFSET" is put behind it. */
+/* Seal the identity of a stream into a token, to which the caller of this
+ * function appends ".OFFSET". */
 void
 resume_seal(const resume_t *resume, const unsigned char *secret,
             char out[RESUME_TEXT_MAX])
 {
-    unsigned char raw[RAW_MAX + MAC_BYTES];
-    int len = snprintf((char *)raw + MAC_BYTES, RAW_MAX,
+    unsigned char raw[RAW_BYTES_MAX + MAC_BYTES];
+    int len = snprintf((char *)raw + MAC_BYTES, RAW_BYTES_MAX,
                        "%s\n%s\n%s\n%s\n%s\n%016llx", resume->workspace,
                        resume->backend, resume->incarnation, resume->stream,
                        resume->version, (unsigned long long)resume->ask);
     mac(raw, secret, "resume", raw + MAC_BYTES, (size_t)len);
     (void)sodium_bin2base64(out, RESUME_TEXT_MAX, raw, (size_t)len + MAC_BYTES,
-                            VARIANT);
+                            BASE64_VARIANT);
 }
 
 static bool
-take_line(char **rest, char *out, size_t size)
+next_line(char **rest, char *out, size_t size)
 {
     char *line = strsep(rest, "\n");
     if (line == NULL || strlen(line) >= size) {
@@ -63,51 +66,52 @@
 }
 
 static bool
-parse_raw(resume_t *resume, char *text)
+parse_token(resume_t *resume, char *text)
 {
     char ask[17];
     char *rest = text;
-    if (!take_line(&rest, resume->workspace, sizeof(resume->workspace)) ||
-        !take_line(&rest, resume->backend, sizeof(resume->backend)) ||
-        !take_line(&rest, resume->incarnation, sizeof(resume->incarnation)) ||
-        !take_line(&rest, resume->stream, sizeof(resume->stream)) ||
-        !take_line(&rest, resume->version, sizeof(resume->version)) ||
-        !take_line(&rest, ask, sizeof(ask))) {
+    if (!next_line(&rest, resume->workspace, sizeof(resume->workspace)) ||
+        !next_line(&rest, resume->backend, sizeof(resume->backend)) ||
+        !next_line(&rest, resume->incarnation, sizeof(resume->incarnation)) ||
+        !next_line(&rest, resume->stream, sizeof(resume->stream)) ||
+        !next_line(&rest, resume->version, sizeof(resume->version)) ||
+        !next_line(&rest, ask, sizeof(ask))) {
         return false;
     }
     resume->ask = strtoull(ask, NULL, 16);
     return true;
 }
 
-/* Open "TOKEN.OFFSET"; a token that another key sealed, or that was changed
- * on the way, is an error. */
+/* Open "TOKEN.OFFSET".  A token that was sealed with another key or has been
+ * changed is an error. */
 int
 resume_open(resume_t *resume, const unsigned char *secret, const char *text,
             uint32_t *offset, err_t *err)
 {
-    unsigned char raw[RAW_MAX + MAC_BYTES + 1];
-    unsigned char want[MAC_BYTES];
+    unsigned char raw[RAW_BYTES_MAX + MAC_BYTES + 1];
+    unsigned char expected[MAC_BYTES];
     size_t len = 0;
     const char *dot = strrchr(text, '.');
     char *end;
     if (dot == NULL) {
         return err_set(err, ERR_CALL, 400, "Last-Event-ID has no offset");
     }
-    unsigned long at = strtoul(dot + 1, &end, 10);
-    if (*end != '\0' || end == dot + 1 || at > UINT32_MAX) {
+    unsigned long parsed_offset = strtoul(dot + 1, &end, 10);
+    if (*end != '\0' || end == dot + 1 || parsed_offset > UINT32_MAX) {
         return err_set(err, ERR_CALL, 400, "Last-Event-ID has a bad offset");
     }
-    *offset = (uint32_t)at;
+    *offset = (uint32_t)parsed_offset;
     if (sodium_base642bin(raw, sizeof(raw) - 1, text, (size_t)(dot - text),
-                          NULL, &len, NULL, VARIANT) != 0 ||
+                          NULL, &len, NULL, BASE64_VARIANT) != 0 ||
         len <= MAC_BYTES) {
         return err_set(err, ERR_CALL, 400, "Last-Event-ID is malformed");
     }
-    mac(want, secret, "resume", raw + MAC_BYTES, len - MAC_BYTES);
+    mac(expected, secret, "resume", raw + MAC_BYTES, len - MAC_BYTES);
     raw[len] = '\0';
-    if (sodium_memcmp(want, raw, MAC_BYTES) != 0 ||
-        !parse_raw(resume, (char *)raw + MAC_BYTES)) {
-        return err_set(err, ERR_CALL, 400, "Last-Event-ID is not ours");
+    if (sodium_memcmp(expected, raw, MAC_BYTES) != 0 ||
+        !parse_token(resume, (char *)raw + MAC_BYTES)) {
+        return err_set(err, ERR_CALL, 400,
+                       "Last-Event-ID was not issued by this router");
     }
     return 0;
 }
