--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -94,9 +94,9 @@
     char salt[CS_ID_LEN + 1];
     uint64_t prompt_hash;
     bool stream;
-    bool resumed;     /* the caller reconnected with Last-Event-ID */
-    uint32_t emitted; /* answer tokens so far; those of a stream are written */
-    buf_t text;       /* answer text that this daemon has */
+    bool resumed;      /* the caller reconnected with Last-Event-ID */
+    uint32_t emitted;  /* answer tokens so far */
+    buf_t text;        /* answer text that this daemon has */
     buf_t sse_pending; /* bytes of an incomplete upstream event */
     buf_t event_out;   /* buffer for one event to the caller, reused */
     char resume_token[RESUME_TEXT_MAX];
@@ -148,7 +148,7 @@
      * of an older attempt carry a smaller number and are ignored. */
     unsigned attempt_number;
     uint64_t xfer;
-    bool first_token_received; /* in this attempt */
+    bool first_token_received; /* a new token arrived in this attempt */
     bool counted_in_view; /* this attempt is counted as load in the view */
     char placement_reason[200]; /* why the policy chose this server */
     bool may_have_run;          /* an attempt failed after it was sent */
