--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -104,7 +104,7 @@
                  const candidate_t *chosen, size_t count)
 {
     (void)snprintf(call->placement_reason, sizeof(call->placement_reason),
-                   "policy %s, %zu candidates: wait %.1f ms, cached %u of %u "
+                   "policy %s chose of %zu: wait %.1f ms, cached %u of %u "
                    "tokens, version %s",
                    policy->name, count, chosen->wait_ms, chosen->cached,
                    call->kind == CALL_CHAT ? call->u.chat.prefix.tokens : 0,
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -240,7 +240,7 @@
     else {
         CLEAN_JSON json_t *body =
             json_pack("{s:s,s:i,s:s}", "outcome", "done", "status", op->status,
-                      "note", "the reply was too long to be stored");
+                      "note", "the answer was too long to be kept");
         http_req_reply_json(call->req, 200, body);
     }
     call_end(call, OUTCOME_DONE);
