--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -19,11 +19,11 @@
     }
     if (json_text(message, "role") == NULL) {
         return err_set(err, ERR_CALL, 400,
-                       "messages[%zu].role is missing or not a string", index);
+                       "messages[%zu].role is missing or not a text", index);
     }
     if (json_text(message, "content") == NULL) {
         return err_set(err, ERR_CALL, 400,
-                       "messages[%zu].content is missing or not a string",
+                       "messages[%zu].content is missing or not a text",
                        index);
     }
     return 0;
@@ -36,11 +36,11 @@
     const json_t *message;
     if (!json_is_array(messages) || json_array_size(messages) == 0) {
         return err_set(err, ERR_CALL, 400,
-                       "messages is missing or not a non-empty array");
+                       "messages is missing or not a list with members");
     }
     if (json_array_size(messages) > MESSAGES_MAX) {
-        return err_set(err, ERR_CALL, 400,
-                       "messages has more than %d elements", MESSAGES_MAX);
+        return err_set(err, ERR_CALL, 400, "messages has over %d members",
+                       MESSAGES_MAX);
     }
     json_array_foreach (messages, i, message) {
         if (check_message(message, i, err) != 0) {
@@ -59,11 +59,11 @@
     if (max != NULL &&
         (!json_is_integer(max) || tokens < 1 || tokens > MAX_TOKENS_MAX)) {
         return err_set(err, ERR_CALL, 400,
-                       "max_tokens is not an integer from 1 to %d",
+                       "max_tokens is not a whole number from 1 to %d",
                        MAX_TOKENS_MAX);
     }
     if (stream != NULL && !json_is_boolean(stream)) {
-        return err_set(err, ERR_CALL, 400, "stream is not a boolean");
+        return err_set(err, ERR_CALL, 400, "stream is not true or false");
     }
     return 0;
 }
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -228,7 +228,7 @@
 reject_unplaced(call_t *call)
 {
     call_reject(call, 503, "no_backend", 1,
-                "no backend server can take this request now");
+                "no backend server takes this work now");
 }
 
 /* Send a call whose turn has come.  It is placed again, since its server may
@@ -312,7 +312,7 @@
     }
     if (exceeds_deadline(call, &candidate)) {
         reject_item(queue, &call->queue_item, "overloaded",
-                    "the expected wait exceeds the request's deadline");
+                    "the queue is longer than the request's deadline");
         return;
     }
     if (!sched_push(queue->sched, &call->queue_item, &evicted)) {
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -20,12 +20,12 @@
     const chat_t *chat = &call->u.chat;
     if (chat->emitted > 0 || chat->resumed) {
         call_fail(call, 502, "stream_lost", OUTCOME_UNKNOWN,
-                  "the stream broke and no backend server can continue it");
+                  "the stream broke and no backend server can go on with it");
         return;
     }
     http_req_reply_header(call->req, "Retry-After", "1");
     call_fail(call, 503, "no_backend", call_outcome_so_far(call),
-              "the backend server failed and no other can take the request");
+              "the backend server failed and no other takes the request");
 }
 
 /* Fail over to another server, which continues from the prompt and the tokens
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -96,7 +96,7 @@
 fail_reply_too_long(call_t *call)
 {
     call_fail(call, 502, "answer_too_long", OUTCOME_DONE,
-              "the call ran, but its reply exceeds the size limit");
+              "the call ran; its answer is longer than the router passes on");
 }
 
 /* Try another server, which is allowed if no byte was sent or if the call is
@@ -267,14 +267,14 @@
         case CLAIM_TAKEN:
             http_req_reply_header(call->req, "Retry-After", "1");
             call_fail(call, 409, "in_progress", OUTCOME_UNKNOWN,
-                      "another call with this key has been sent and its "
+                      "another attempt with this key has been sent and its "
                       "outcome is not known yet");
             break;
         case CLAIM_UNAVAILABLE:
         case CLAIM_PENDING:
         case CLAIM_RECORDED:
             call_reject(call, 503, "claims_unavailable", 2,
-                        "the platform's store is not available");
+                        "the platform's store cannot be asked now");
             break;
     }
     (void)pthread_mutex_unlock(&call->lock);
@@ -324,9 +324,8 @@
         http_req_reply_error(
             req, service == NULL ? 404 : 400,
             service == NULL ? "unknown_service" : "bad_key",
-            service == NULL
-                ? "service %.64s is not declared"
-                : "Idempotency-Key for %.64s is longer than 255 bytes",
+            service == NULL ? "service %.64s is not declared"
+                            : "Idempotency-Key of %.64s is over 255 bytes",
             name);
         return;
     }
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -234,7 +234,7 @@
         call_emit_event(call, "caller-gone", NULL);
         http_client_cancel(call->daemon->http_client, call->xfer);
         call_fail(call, 499, "caller_gone", OUTCOME_UNKNOWN,
-                  "the caller disconnected or does not read");
+                  "the caller does not read");
     }
 }
 
--- a/kernel/resume.c
+++ b/kernel/resume.c
@@ -110,8 +110,7 @@
     raw[len] = '\0';
     if (sodium_memcmp(expected, raw, MAC_BYTES) != 0 ||
         !parse_token(resume, (char *)raw + MAC_BYTES)) {
-        return err_set(err, ERR_CALL, 400,
-                       "Last-Event-ID was not issued by this router");
+        return err_set(err, ERR_CALL, 400, "Last-Event-ID is not ours");
     }
     return 0;
 }
