--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -28,20 +28,20 @@
         rng_t rng = {1};
         double begin = cpu_us();
         for (size_t i = 0; i < sizes[s]; i++) {
-            (void)cache_map_note(map, (uint16_t)(i % 600), rng_next(&rng),
-                                 512);
+            (void)cache_map_add_holder(map, (uint16_t)(i % 600),
+                                       rng_next(&rng), 512);
         }
         double notes = cpu_us() - begin;
         begin = cpu_us();
         size_t known = 0;
         for (size_t i = 0; i < sizes[s]; i++) {
-            known += cache_map_knows(map, rng_next(&rng));
+            known += cache_map_has_key(map, rng_next(&rng));
         }
         double looks = cpu_us() - begin;
         (void)printf(
             "cache map, %zu entries: %.0f bytes each, %.2f us a "
             "note, %.2f us a look (%zu known)\n",
-            sizes[s], (double)cache_map_memory(map) / (double)sizes[s],
+            sizes[s], (double)cache_map_memory_bytes(map) / (double)sizes[s],
             notes / (double)sizes[s], looks / (double)sizes[s], known);
         cache_map_free(map);
     }
@@ -109,15 +109,16 @@
         for (unsigned i = 0; i < 4; i++) {
             prefix.levels[i] = (prefix_level_t){i + 1, 600 * (i + 1)};
         }
-        place_scene_t scene = {
+        place_context_t scene = {
             .config = config, .view = view, .cache = cache, .dc = "dc-1"};
-        place_ask_t ask = {.prefix = &prefix};
+        place_query_t ask = {.prefix = &prefix};
         const int rounds = 2000;
         double begin = cpu_us();
         for (int i = 0; i < rounds; i++) {
             size_t count =
-                place_candidates(&scene, "m", &prefix, NULL, all, 256);
-            ask.turn += policy_find("cost")->choose(all, count, &ask);
+                place_list_candidates(&scene, "m", &prefix, NULL, all, 256);
+            ask.placement_count +=
+                policy_find("cost")->choose(all, count, &ask);
         }
         (void)printf("placement among %d servers: %.1f us\n", sizes[s],
                      (cpu_us() - begin) / rounds);
@@ -164,7 +165,7 @@
     size_t known = 0;
     json_array_foreach (back, i, event) {
         uint64_t key = (uint64_t)json_integer_value(json_array_get(event, 2));
-        known += cache_map_knows(cache, key);
+        known += cache_map_has_key(cache, key);
     }
     (void)printf("cache events: %.2f us and %.0f bytes each (%zu known)\n",
                  (cpu_us() - begin) / (double)i,
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -71,11 +71,11 @@
 static void
 seq_blocks(engine_t *engine, seq_t *seq, const buf_t *text, const char *salt)
 {
-    uint64_t key = prefix_root(salt, engine->version);
+    uint64_t key = prefix_root_key(salt, engine->version);
     seq->block_count = text->len / PREFIX_BLOCK_BYTES;
     seq->blocks = mem_zalloc((seq->block_count + 1) * sizeof(uint64_t));
     for (size_t i = 0; i < seq->block_count; i++) {
-        key = prefix_chain(key, text->data + i * PREFIX_BLOCK_BYTES);
+        key = prefix_block_key(key, text->data + i * PREFIX_BLOCK_BYTES);
         seq->blocks[i] = key;
     }
     seq->prompt_tokens = (uint32_t)(text->len / PREFIX_TOKEN_BYTES);
--- a/fakes/engine-cache.c
+++ b/fakes/engine-cache.c
@@ -94,7 +94,7 @@
     if (block == NULL) {
         return false;
     }
-    lru_use(&cache->lru, &block->lru);
+    lru_touch(&cache->lru, &block->lru);
     return true;
 }
 
--- a/fakes/load-blocks.c
+++ b/fakes/load-blocks.c
@@ -78,7 +78,7 @@
         if (blocks->used * 2 > blocks->size) {
             grow(blocks);
         }
-        key = prefix_chain(key, text.data + at);
+        key = prefix_block_key(key, text.data + at);
         fresh += put(blocks, key) ? PREFIX_BLOCK_TOKENS : 0;
     }
     fresh += (text.len - at) / PREFIX_TOKEN_BYTES;
--- a/kernel/cache-map.c
+++ b/kernel/cache-map.c
@@ -149,18 +149,18 @@
 
 /* Remember that a backend server holds a level; true if that is news. */
 bool
-cache_map_note(cache_map_t *map, uint16_t backend, uint64_t key,
-               uint32_t tokens)
+cache_map_add_holder(cache_map_t *map, uint16_t backend, uint64_t key,
+                     uint32_t tokens)
 {
-    return cache_map_note_at(map, backend, key, tokens, 0);
+    return cache_map_add_holder_at(map, backend, key, tokens, 0);
 }
 
 /* The same, with the time: a server forgets what is not used for long, so who
  * asks for holders may ask for those since a time.  It is also news that a
  * level which was not noted for a while is still there. */
 bool
-cache_map_note_at(cache_map_t *map, uint16_t backend, uint64_t key,
-                  uint32_t tokens, int64_t now_ms)
+cache_map_add_holder_at(cache_map_t *map, uint16_t backend, uint64_t key,
+                        uint32_t tokens, int64_t now_ms)
 {
     LOCK_SCOPE(&map->lock);
     cache_entry_t *entry = entry_find(map, key);
@@ -168,7 +168,7 @@
         entry = entry_make(map, key, tokens);
     }
     entry->uses++;
-    lru_use(&map->lru, &entry->lru);
+    lru_touch(&map->lru, &entry->lru);
     int at = holder_find(map, entry, backend);
     if (at >= 0) {
         int64_t before_ms = entry->holders[at].noted_ms;
@@ -181,7 +181,7 @@
 
 /* Forget one holder of a level; true if it had been believed. */
 bool
-cache_map_drop(cache_map_t *map, uint16_t backend, uint64_t key)
+cache_map_remove_holder(cache_map_t *map, uint16_t backend, uint64_t key)
 {
     LOCK_SCOPE(&map->lock);
     cache_entry_t *entry = entry_find(map, key);
@@ -197,7 +197,7 @@
 /* Forget all that a backend server held: it came back empty, or with other
  * weights. */
 void
-cache_map_forget(cache_map_t *map, uint16_t backend)
+cache_map_clear_backend(cache_map_t *map, uint16_t backend)
 {
     LOCK_SCOPE(&map->lock);
     map->epochs[backend]++;
@@ -206,15 +206,16 @@
 /* How many tokens of a prompt a backend server is believed to hold: those
  * of the deepest level that it is known for. */
 uint32_t
-cache_map_cached(cache_map_t *map, const prefix_t *prefix, uint16_t backend)
+cache_map_cached_tokens(cache_map_t *map, const prefix_t *prefix,
+                        uint16_t backend)
 {
-    return cache_map_cached_since(map, prefix, backend, 0);
+    return cache_map_cached_tokens_since(map, prefix, backend, 0);
 }
 
 /* The same, counting only what was noted since a time. */
 uint32_t
-cache_map_cached_since(cache_map_t *map, const prefix_t *prefix,
-                       uint16_t backend, int64_t since_ms)
+cache_map_cached_tokens_since(cache_map_t *map, const prefix_t *prefix,
+                              uint16_t backend, int64_t since_ms)
 {
     LOCK_SCOPE(&map->lock);
     for (unsigned i = prefix->count; i > 0; i--) {
@@ -230,8 +231,8 @@
 
 /* Who is believed to hold a level since a time, the last noted last. */
 size_t
-cache_map_holders(cache_map_t *map, uint64_t key, int64_t since_ms,
-                  uint16_t *out, size_t max)
+cache_map_list_holders(cache_map_t *map, uint64_t key, int64_t since_ms,
+                       uint16_t *out, size_t max)
 {
     LOCK_SCOPE(&map->lock);
     const cache_entry_t *entry = entry_find(map, key);
@@ -247,7 +248,7 @@
 
 /* Whether a key is a level that some prompt here had. */
 bool
-cache_map_knows(cache_map_t *map, uint64_t key)
+cache_map_has_key(cache_map_t *map, uint64_t key)
 {
     LOCK_SCOPE(&map->lock);
     return entry_find(map, key) != NULL;
@@ -263,7 +264,7 @@
 /* The most recently used facts, for the snapshot that warms a peer.  A level
  * that was used once is most often a request's own and not worth its room. */
 size_t
-cache_map_hottest(cache_map_t *map, cache_fact_t *facts, size_t max)
+cache_map_list_reused(cache_map_t *map, cache_fact_t *facts, size_t max)
 {
     size_t count = 0;
     LOCK_SCOPE(&map->lock);
@@ -281,7 +282,7 @@
 
 /* Bytes that the map takes at its present size. */
 size_t
-cache_map_memory(cache_map_t *map)
+cache_map_memory_bytes(cache_map_t *map)
 {
     LOCK_SCOPE(&map->lock);
     return sizeof(*map) + map->bucket_count * sizeof(entry_list_t) +
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -120,7 +120,7 @@
 is_resume_of(const call_t *call, const resume_t *resume)
 {
     return strcmp(resume->workspace, call->workspace) == 0 &&
-           resume->ask == call->u.chat.ask;
+           resume->prompt_hash == call->u.chat.ask;
 }
 
 /* Go on with a stream that began at this or another daemon.  A token of
@@ -145,7 +145,7 @@
     }
     chat->emitted = offset;
     chat->resumed = true;
-    call->backend_id = view_id(call->daemon->view, backend->name);
+    call->backend_id = view_assign_id(call->daemon->view, backend->name);
     str_copy(call->backend, sizeof(call->backend), backend->name);
     str_copy(call->addr, sizeof(call->addr), backend->addr);
     str_copy(call->incarnation, sizeof(call->incarnation), resume.incarnation);
@@ -204,7 +204,8 @@
     chat->body = body;
     chat->stream = json_flag(body, "stream");
     take_partial(chat);
-    cache_salt(daemon->settings.secret, workspace->name, model, chat->salt);
+    cache_salt_derive(daemon->settings.secret, workspace->name, model,
+                      chat->salt);
     chat->ask = ask_hash(workspace->name, chat);
     prefix_compute(&chat->prefix, json_object_get(body, "messages"),
                    chat->salt, config_model(config, model)->version);
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -54,7 +54,7 @@
     if (lane == NULL) {
         return 0;
     }
-    double daemons = (double)members_live(daemon->members);
+    double daemons = (double)members_live_count(daemon->members);
     return sched_waiting_cost(lane->sched) * daemons * 1000.0 / rate;
 }
 
@@ -63,7 +63,7 @@
 {
     backend_state_t state;
     (void)view_get(daemon->view, backend, &state);
-    return view_rate(&state);
+    return view_prefill_rate(&state);
 }
 
 static void
@@ -73,7 +73,7 @@
     call_t *call = item->owner;
     celeryspoold_t *daemon = call->daemon;
     double rate = backend_rate(daemon, lane->backend) /
-                  (double)members_live(daemon->members);
+                  (double)members_live_count(daemon->members);
     int retry_after = sched_retry_after_s(lane->sched, rate);
     (void)pthread_mutex_lock(&call->lock);
     call_refuse(call, 429, code, retry_after, text);
@@ -106,7 +106,7 @@
     (void)snprintf(call->why, sizeof(call->why),
                    "policy %s chose of %zu: wait %.1f ms, cached %u of %u "
                    "tokens, version %s",
-                   policy->name, count, chosen->wait_ms, chosen->cached,
+                   policy->name, count, chosen->wait_ms, chosen->cached_tokens,
                    call->kind == CALL_CHAT ? call->u.chat.prefix.tokens : 0,
                    chosen->version);
 }
@@ -114,13 +114,13 @@
 /* Whether engines still load what is wanted: only they count then, so that a
  * version is asked for only where some server has it. */
 static size_t
-candidates_of(call_t *call, const place_scene_t *scene, candidate_t *all,
+candidates_of(call_t *call, const place_context_t *scene, candidate_t *all,
               char version[CS_NAME_MAX])
 {
     static const prefix_t none = {0};
     if (call->kind == CALL_SERVICE) {
-        return place_candidates(scene, call->target, &none, NULL, all,
-                                CANDIDATES_MAX);
+        return place_list_candidates(scene, call->target, &none, NULL, all,
+                                     CANDIDATES_MAX);
     }
     chat_t *chat = &call->u.chat;
     const model_t *model = config_model(scene->config, call->target);
@@ -131,21 +131,21 @@
                                : "");
     prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                    chat->salt, version);
-    size_t count = place_candidates(scene, call->target, &chat->prefix,
-                                    version, all, CANDIDATES_MAX);
+    size_t count = place_list_candidates(scene, call->target, &chat->prefix,
+                                         version, all, CANDIDATES_MAX);
     if (count > 0 || chat->emitted > 0) {
         return count;
     }
     /* Before the first server has loaded a new version, the others serve on
      * with the old one, each keyed by what it has. */
-    count = place_candidates(scene, call->target, &chat->prefix, NULL, all,
-                             CANDIDATES_MAX);
+    count = place_list_candidates(scene, call->target, &chat->prefix, NULL,
+                                  all, CANDIDATES_MAX);
     if (count > 0) {
         str_copy(version, CS_NAME_MAX, all[0].version);
         prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                        chat->salt, version);
-        count = place_candidates(scene, call->target, &chat->prefix, version,
-                                 all, CANDIDATES_MAX);
+        count = place_list_candidates(scene, call->target, &chat->prefix,
+                                      version, all, CANDIDATES_MAX);
     }
     return count;
 }
@@ -159,22 +159,22 @@
     candidate_t all[CANDIDATES_MAX];
     char version[CS_NAME_MAX] = "";
     config_t *config = daemon_config(daemon);
-    place_scene_t scene = {.config = config,
-                           .view = daemon->view,
-                           .cache = daemon->cache,
-                           .dc = daemon->settings.dc,
-                           .now_ms = time_mono_ms(),
-                           .wall_ms = time_wall_ms()};
-    place_ask_t ask = {
-        .objective = config->objective,
-        .turn = __atomic_fetch_add(&daemon->turn, 1, __ATOMIC_RELAXED)};
+    place_context_t scene = {.config = config,
+                             .view = daemon->view,
+                             .cache = daemon->cache,
+                             .dc = daemon->settings.dc,
+                             .now_ms = time_mono_ms(),
+                             .wall_ms = time_wall_ms()};
+    place_query_t ask = {.objective = config->objective,
+                         .placement_count = __atomic_fetch_add(
+                             &daemon->turn, 1, __ATOMIC_RELAXED)};
     static const prefix_t none = {0};
     for (unsigned i = 0; i < call->tried && i < TRIED_MAX; i++) {
-        scene.avoid[i] = call->tried_names[i];
+        scene.excluded[i] = call->tried_names[i];
     }
     size_t count = candidates_of(call, &scene, all, version);
     for (size_t i = 0; i < count; i++) {
-        all[i].wait_ms += lane_wait_ms(daemon, all[i].id, all[i].rate);
+        all[i].wait_ms += lane_wait_ms(daemon, all[i].id, all[i].prefill_rate);
     }
     ask.prefix = call->kind == CALL_CHAT ? &call->u.chat.prefix : &none;
     if (count > 0) {
@@ -215,9 +215,11 @@
     if (!view_get(daemon->view, backend, &state)) {
         return false;
     }
-    double own_ms = state.own_waiting * 1000.0 / view_rate(&state);
-    double share_ms = GATE_MS / (double)members_live(daemon->members);
-    return own_ms >= share_ms || view_wait_ms(&state) > GATE_MS * GATE_SLACK;
+    double own_ms =
+        state.own_waiting_tokens * 1000.0 / view_prefill_rate(&state);
+    double share_ms = GATE_MS / (double)members_live_count(daemon->members);
+    return own_ms >= share_ms ||
+           view_expected_wait_ms(&state) > GATE_MS * GATE_SLACK;
 }
 
 /* No server takes the call now.  The call's lock is held. */
@@ -267,11 +269,12 @@
 goes_at_once(celeryspoold_t *daemon, lane_t *lane, call_t *call,
              const candidate_t *candidate)
 {
-    if (sched_waiting(lane->sched) > 0 || is_busy(daemon, lane->backend)) {
+    if (sched_waiting_count(lane->sched) > 0 ||
+        is_busy(daemon, lane->backend)) {
         return false;
     }
     LOCK_SCOPE(&call->lock);
-    call->item.first = true;
+    call->item.first_of_workspace = true;
     send_call(call, candidate);
     return true;
 }
@@ -296,10 +299,10 @@
         return;
     }
     lane_t *lane = lane_of(daemon, candidate.id);
-    double uncached =
-        call->kind == CALL_CHAT
-            ? (double)call->u.chat.prefix.tokens - (double)candidate.cached
-            : 0;
+    double uncached = call->kind == CALL_CHAT
+                          ? (double)call->u.chat.prefix.tokens -
+                                (double)candidate.cached_tokens
+                          : 0;
     call->item.cost = uncached > COST_LEAST ? uncached : COST_LEAST;
     call->item.placed_ms = time_mono_ms();
     if (goes_at_once(daemon, lane, call, &candidate)) {
@@ -330,7 +333,7 @@
     size_t count = view_count(daemon->view);
     for (size_t i = 0; i < count; i++) {
         lane_t *lane = lane_at(daemon, i);
-        if (lane != NULL && sched_waiting(lane->sched) > 0) {
+        if (lane != NULL && sched_waiting_count(lane->sched) > 0) {
             lane_run(daemon, lane);
         }
     }
@@ -372,10 +375,10 @@
     for (size_t i = 0; i < count; i++) {
         lane_t *lane = lane_at(daemon, i);
         sched_item_t *item;
-        if (lane == NULL || sched_waiting(lane->sched) == 0) {
+        if (lane == NULL || sched_waiting_count(lane->sched) == 0) {
             continue;
         }
-        while ((item = sched_expired(lane->sched, now)) != NULL) {
+        while ((item = sched_take_expired(lane->sched, now)) != NULL) {
             give_up_on(lane, item, "deadline",
                        "the deadline passed while the request waited");
         }
@@ -391,7 +394,7 @@
     size_t waiting = 0;
     for (size_t i = 0; i < BACKENDS_MAX; i++) {
         const lane_t *lane = lane_at(daemon, i);
-        waiting += lane == NULL ? 0 : sched_waiting(lane->sched);
+        waiting += lane == NULL ? 0 : sched_waiting_count(lane->sched);
     }
     return waiting;
 }
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -75,7 +75,7 @@
     }
     call_note_tried(call);
     if (chat->emitted == 0 && !chat->resumed &&
-        !retry_budget_spend(&call->daemon->retries)) {
+        !retry_budget_try_spend(&call->daemon->retries)) {
         http_req_reply_header(call->req, "Retry-After", "2");
         call_fail(call, 503, "retries_spent", call_outcome_so_far(call),
                   "the backend server failed and too many retries are under "
@@ -136,7 +136,7 @@
         return;
     }
     if (told) {
-        view_succeeded(call->daemon->view, call->backend_id);
+        view_record_success(call->daemon->view, call->backend_id);
         call->probe_failures = 0;
         call->last_us = time_mono_us();
         return;
@@ -146,7 +146,8 @@
     /* Each probe without an answer counts, so that a few streams on a frozen
      * server open its circuit before more requests are sent there. */
     if (!unknown_there) {
-        view_failed(call->daemon->view, call->backend_id, time_mono_ms());
+        view_record_failure(call->daemon->view, call->backend_id,
+                            time_mono_ms());
     }
     if (unknown_there || call->probe_failures >= PROBE_FAILURES_MAX) {
         call_event(call, "server-silent", NULL);
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -106,7 +106,7 @@
     call_note_tried(call);
     if (call->attempts < TRIED_MAX && time_mono_ms() < call->deadline_ms &&
         dispatch_place(call, &candidate) &&
-        (!sent || retry_budget_spend(&call->daemon->retries))) {
+        (!sent || retry_budget_try_spend(&call->daemon->retries))) {
         service_leg_start(call, &candidate);
         return;
     }
@@ -125,7 +125,7 @@
     const service_call_t *service = &call->u.service;
     call_uncount(call);
     if (end == HTTP_END_WHOLE) {
-        view_succeeded(call->daemon->view, call->backend_id);
+        view_record_success(call->daemon->view, call->backend_id);
         service_record(call, CLAIM_OP_DONE, status);
         if (service->overflow) {
             answer_too_long(call);
@@ -134,7 +134,7 @@
         answer(call, status);
         return;
     }
-    view_failed(call->daemon->view, call->backend_id, time_mono_ms());
+    view_record_failure(call->daemon->view, call->backend_id, time_mono_ms());
     call->may_have_run = call->may_have_run || end != HTTP_END_UNSENT;
     if (end == HTTP_END_UNSENT || service->idempotent) {
         try_elsewhere(call, end != HTTP_END_UNSENT);
@@ -212,7 +212,7 @@
     call->counted = true;
     call->started = false;
     buf_free(&call->u.service.reply);
-    view_sent(call->daemon->view, call->backend_id, 0);
+    view_add_request(call->daemon->view, call->backend_id, 0);
     call_event(call, "placed", call->why);
     event_emit(&(event_t){.kind = "sent",
                           .request = call->id,
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -79,7 +79,7 @@
 static void
 seal_token(call_t *call)
 {
-    resume_t resume = {.ask = call->u.chat.ask};
+    resume_t resume = {.prompt_hash = call->u.chat.ask};
     str_copy(resume.workspace, sizeof(resume.workspace), call->workspace);
     str_copy(resume.backend, sizeof(resume.backend), call->backend);
     str_copy(resume.incarnation, sizeof(resume.incarnation),
@@ -97,10 +97,10 @@
     chat_t *chat = &call->u.chat;
     int64_t now = time_mono_us();
     if (call->counted && !call->started) {
-        view_first_token(call->daemon->view, call->backend_id, call->uncached,
-                         call->expected_ms,
-                         (double)(now - call->sent_us) / 1e3);
-        view_succeeded(call->daemon->view, call->backend_id);
+        view_record_first_token(call->daemon->view, call->backend_id,
+                                call->uncached, call->expected_ms,
+                                (double)(now - call->sent_us) / 1e3);
+        view_record_success(call->daemon->view, call->backend_id);
     }
     call->started = true;
     seal_token(call);
@@ -245,8 +245,8 @@
         /* The last level is this request's own; peers learn of it only if
          * others follow it, as a further level of theirs. */
         bool shared = i + 1 < chat->prefix.count;
-        if (cache_map_note(daemon->cache, call->backend_id, level->key,
-                           level->tokens) &&
+        if (cache_map_add_holder(daemon->cache, call->backend_id, level->key,
+                                 level->tokens) &&
             shared) {
             peer_tell_cached(daemon->peer, call->backend, level->key,
                              level->tokens, true);
@@ -279,8 +279,8 @@
     call_uncount(call);
     bool other_weights = status == 409 && leg->version[0] != '\0';
     if (other_weights) {
-        view_version(daemon->view, call->backend_id, leg->version);
-        cache_map_forget(daemon->cache, call->backend_id);
+        view_set_version(daemon->view, call->backend_id, leg->version);
+        cache_map_clear_backend(daemon->cache, call->backend_id);
     }
     chat_redirect(call, other_weights);
 }
@@ -300,7 +300,8 @@
         return;
     }
     if (!answered) {
-        view_failed(call->daemon->view, call->backend_id, time_mono_ms());
+        view_record_failure(call->daemon->view, call->backend_id,
+                            time_mono_ms());
     }
     call->may_have_run = call->may_have_run || end != HTTP_END_UNSENT;
     call_event(call, "leg-broke",
@@ -340,7 +341,7 @@
 static int
 engine_priority(const call_t *call)
 {
-    return call->priority * 2 + (call->item.first ? 1 : 0);
+    return call->priority * 2 + (call->item.first_of_workspace ? 1 : 0);
 }
 
 /* The body for an engine: the caller's, with what is ours added, and behind
@@ -397,14 +398,14 @@
     call->backend_id = candidate->id;
     call->attempts++;
     call->sent_us = time_mono_us();
-    call->uncached = chat->prefix.tokens > candidate->cached
-                         ? chat->prefix.tokens - candidate->cached
+    call->uncached = chat->prefix.tokens > candidate->cached_tokens
+                         ? chat->prefix.tokens - candidate->cached_tokens
                          : 0;
     call->expected_ms =
-        candidate->wait_ms + place_recompute_ms(candidate, &chat->prefix);
+        candidate->wait_ms + place_prefill_ms(candidate, &chat->prefix);
     call->phase = chat->emitted > 0 ? call->phase : CALL_SENT;
     call->counted = true;
-    view_sent(call->daemon->view, call->backend_id, call->uncached);
+    view_add_request(call->daemon->view, call->backend_id, call->uncached);
     /* The server will hold these levels once it has begun, so requests that
      * come right behind should go there too. */
     learn(call);
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -120,8 +120,8 @@
 {
     if (call->counted) {
         call->counted = false;
-        view_ended(call->daemon->view, call->backend_id, call->started,
-                   call->uncached);
+        view_remove_request(call->daemon->view, call->backend_id,
+                            call->started, call->uncached);
     }
 }
 
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -33,8 +33,8 @@
     err_t err = {0};
     str_copy(self.name, sizeof(self.name), settings->name);
     str_copy(self.dc, sizeof(self.dc), settings->dc);
-    str_copy(self.peer, sizeof(self.peer), settings->peer);
-    str_copy(self.http, sizeof(self.http), settings->http);
+    str_copy(self.peer_addr, sizeof(self.peer_addr), settings->peer);
+    str_copy(self.http_addr, sizeof(self.http_addr), settings->http);
     (void)pthread_mutex_init(&daemon->config_lock, NULL);
     (void)pthread_mutex_init(&daemon->lanes_lock, NULL);
     (void)pthread_mutex_init(&daemon->calls_lock, NULL);
@@ -47,7 +47,7 @@
         members_new(&self, str_hash(self.name, daemon->incarnation));
     daemon->metrics = metrics_new();
     for (unsigned i = 0; i < settings->seed_count; i++) {
-        members_seed(daemon->members, settings->seeds[i]);
+        members_add_seed(daemon->members, settings->seeds[i]);
     }
 }
 
@@ -97,7 +97,7 @@
     config_t *config = daemon_config(daemon);
     int64_t mine = config->generation;
     config_release(config);
-    int64_t theirs = members_generation(daemon->members, peer);
+    int64_t theirs = members_newest_generation(daemon->members, peer);
     if (theirs >= 0) {
         (void)pthread_mutex_lock(&daemon->config_lock);
         daemon->config_heard_ms = time_mono_ms();
@@ -116,7 +116,7 @@
 keep_snapshot(void *arg)
 {
     celeryspoold_t *daemon = arg;
-    if (members_duty(daemon->members, "snapshot")) {
+    if (members_has_duty(daemon->members, "snapshot")) {
         snapshot_keep(daemon);
     }
 }
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -99,7 +99,7 @@
     buf_t text;       /* of those that this daemon has seen */
     buf_t sse;        /* bytes of an unfinished upstream event */
     buf_t out;        /* one event for the caller, its room used again */
-    char token[RESUME_TEXT_MAX];
+    char token[RESUME_TOKEN_MAX];
     bool gap;      /* upstream skipped tokens that the caller has not */
     bool finished; /* upstream said that the answer is whole */
     uint32_t prompt_tokens;
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -37,9 +37,9 @@
 feed_take_load(celeryspoold_t *daemon, const char *backend,
                const load_report_t *report)
 {
-    uint16_t id = view_id(daemon->view, backend);
-    if (view_report(daemon->view, id, report, time_mono_ms())) {
-        cache_map_forget(daemon->cache, id);
+    uint16_t id = view_assign_id(daemon->view, backend);
+    if (view_apply_report(daemon->view, id, report, time_mono_ms())) {
+        cache_map_clear_backend(daemon->cache, id);
         event_emit(&(event_t){.kind = "backend-renewed",
                               .backend = backend,
                               .detail = report->version});
@@ -52,14 +52,14 @@
 worth_telling(const backend_state_t *before, const load_report_t *now,
               int64_t now_ms)
 {
-    const load_report_t *told = &before->told;
+    const load_report_t *told = &before->announced;
     int waiting = now->waiting_tokens - told->waiting_tokens;
     int running = now->running - told->running;
     return strcmp(told->incarnation, now->incarnation) != 0 ||
            strcmp(told->version, now->version) != 0 ||
            strcmp(told->loading, now->loading) != 0 ||
            abs(waiting) > WAITING_STEP || abs(running) > RUNNING_STEP ||
-           now_ms - before->told_ms > TELL_ANYWAY_MS;
+           now_ms - before->announced_ms > TELL_ANYWAY_MS;
 }
 
 static void
@@ -67,11 +67,11 @@
           const load_report_t *report)
 {
     backend_state_t state;
-    uint16_t id = view_id(daemon->view, backend);
+    uint16_t id = view_assign_id(daemon->view, backend);
     int64_t now = time_mono_ms();
     if (view_get(daemon->view, id, &state) &&
         worth_telling(&state, report, now)) {
-        view_told(daemon->view, id, report, now);
+        view_record_announced(daemon->view, id, report, now);
         peer_tell_load(daemon->peer, backend, report);
     }
 }
@@ -104,11 +104,11 @@
     bool stored = json_is_true(json_array_get(event, 1));
     uint64_t key = (uint64_t)json_integer_value(json_array_get(event, 2));
     bool news = false;
-    if (!cache_map_knows(daemon->cache, key)) {
+    if (!cache_map_has_key(daemon->cache, key)) {
         return;
     }
-    news = stored ? cache_map_note(daemon->cache, id, key, 0)
-                  : cache_map_drop(daemon->cache, id, key);
+    news = stored ? cache_map_add_holder(daemon->cache, id, key, 0)
+                  : cache_map_remove_holder(daemon->cache, id, key);
     if (news) {
         peer_tell_cached(daemon->peer, backend, key, 0, stored);
     }
@@ -119,7 +119,7 @@
 static void
 take_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
-    uint16_t id = view_id(daemon->view, backend);
+    uint16_t id = view_assign_id(daemon->view, backend);
     const char *incarnation = json_text(body, "incarnation");
     size_t i;
     const json_t *event;
@@ -128,16 +128,16 @@
         return;
     }
     bool other = strcmp(state.events_incarnation, incarnation) != 0;
-    uint64_t after = other ? 0 : state.events_after;
-    if (other && state.events_after > 0) {
-        view_events_at(daemon->view, id, incarnation, 0);
+    uint64_t after = other ? 0 : state.last_event;
+    if (other && state.last_event > 0) {
+        view_set_last_event(daemon->view, id, incarnation, 0);
         return;
     }
     json_array_foreach (json_object_get(body, "events"), i, event) {
         take_cache_event(daemon, backend, id, event);
         after = (uint64_t)json_integer_value(json_array_get(event, 0));
     }
-    view_events_at(daemon->view, id, incarnation, after);
+    view_set_last_event(daemon->view, id, incarnation, after);
 }
 
 static void
@@ -187,13 +187,13 @@
     backend_state_t state;
     (void)snprintf(duty, sizeof(duty), "feed/%s", backend->name);
     if (backend->kind != BACKEND_ENGINE ||
-        !members_duty(daemon->members, duty) ||
-        !view_get(daemon->view, view_id(daemon->view, backend->name),
+        !members_has_duty(daemon->members, duty) ||
+        !view_get(daemon->view, view_assign_id(daemon->view, backend->name),
                   &state)) {
         return;
     }
     (void)snprintf(path, sizeof(path), "/kv_events?after=%llu",
-                   (unsigned long long)state.events_after);
+                   (unsigned long long)state.last_event);
     ask(daemon, backend, "/load", false);
     if (events) {
         ask(daemon, backend, path, true);
@@ -210,8 +210,9 @@
         const char *name = json_text(host, "name");
         const char *state = json_text(host, "state");
         if (name != NULL && state != NULL) {
-            view_host_leaving(daemon->view, view_id(daemon->view, name),
-                              strcmp(state, "leaving") == 0);
+            view_set_host_leaving(daemon->view,
+                                  view_assign_id(daemon->view, name),
+                                  strcmp(state, "leaving") == 0);
         }
     }
 }
--- a/kernel/fetch.c
+++ b/kernel/fetch.c
@@ -35,7 +35,7 @@
 on_end(void *arg, exchange_end_t end)
 {
     fetch_t *fetch = arg;
-    fetch_result_t result = {.whole = end == EXCHANGE_WHOLE,
+    fetch_result_t result = {.complete = end == EXCHANGE_WHOLE,
                              .sent = end != EXCHANGE_UNSENT,
                              .status = fetch->status,
                              .text = buf_text(&fetch->answer),
@@ -47,13 +47,13 @@
 
 /* Start a call; nothing is told before this returns. */
 fetch_t *
-fetch_start(exchanges_t *exchanges, const fetch_ask_t *ask)
+fetch_start(exchanges_t *exchanges, const fetch_options_t *ask)
 {
     fetch_t *fetch = mem_zalloc(sizeof(*fetch));
     exchange_hooks_t hooks = {on_head, on_body, on_end, fetch};
     exchange_ask_t call = {.addr = ask->addr,
-                           .head = ask->call->data,
-                           .head_len = ask->call->len,
+                           .head = ask->request->data,
+                           .head_len = ask->request->len,
                            .connect_ms = ask->connect_ms,
                            .total_ms = ask->total_ms};
     fetch->on_done = ask->on_done;
--- a/kernel/fetch.h
+++ b/kernel/fetch.h
@@ -9,8 +9,8 @@
 typedef struct fetch fetch_t;
 
 typedef struct {
-    bool whole; /* status and text are there */
-    bool sent;  /* it may have been acted on, answered or not */
+    bool complete; /* status and text are there */
+    bool sent;     /* it may have been acted on, answered or not */
     int status;
     const char *text; /* ended by a NUL */
     size_t len;
@@ -18,15 +18,15 @@
 
 typedef struct {
     const char *addr;
-    const buf_t *call; /* head and body as they are sent */
+    const buf_t *request; /* head and body as they are sent */
     int connect_ms;
     int total_ms;
     /* The last call; the fetch is gone behind it. */
     void (*on_done)(void *arg, const fetch_result_t *result);
     void *arg;
-} fetch_ask_t;
+} fetch_options_t;
 
-fetch_t *fetch_start(exchanges_t *exchanges, const fetch_ask_t *ask);
+fetch_t *fetch_start(exchanges_t *exchanges, const fetch_options_t *ask);
 void fetch_cancel(fetch_t *fetch);
 
 #endif
--- a/kernel/lru.c
+++ b/kernel/lru.c
@@ -34,7 +34,7 @@
 
 /* An entry of the list is used. */
 void
-lru_use(lru_t *lru, lru_link_t *link)
+lru_touch(lru_t *lru, lru_link_t *link)
 {
     lru_remove(lru, link);
     lru_add(lru, link);
--- a/kernel/lru.h
+++ b/kernel/lru.h
@@ -22,6 +22,6 @@
 
 void lru_add(lru_t *lru, lru_link_t *link);
 void lru_remove(lru_t *lru, lru_link_t *link);
-void lru_use(lru_t *lru, lru_link_t *link);
+void lru_touch(lru_t *lru, lru_link_t *link);
 
 #endif
--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -40,10 +40,10 @@
 }
 
 member_message_t *
-members_message_add(members_t *members, member_out_t *out, const char *addr,
+members_message_add(members_t *members, member_outbox_t *out, const char *addr,
                     member_message_kind_t kind, uint64_t sequence)
 {
-    if (out->count == MEMBER_OUT_MAX) {
+    if (out->count == MEMBER_OUTBOX_MAX) {
         return NULL;
     }
     member_message_t *message = &out->messages[out->count];
@@ -68,7 +68,7 @@
 }
 
 void
-members_ping_addr(members_t *members, member_out_t *out, const char *addr,
+members_ping_addr(members_t *members, member_outbox_t *out, const char *addr,
                   const member_node_t *node, uint64_t sequence)
 {
     member_message_t *message =
@@ -80,15 +80,15 @@
 }
 
 void
-members_ping(members_t *members, member_out_t *out, const member_node_t *node,
-             uint64_t sequence)
+members_ping(members_t *members, member_outbox_t *out,
+             const member_node_t *node, uint64_t sequence)
 {
-    members_ping_addr(members, out, node->member.peer, node, sequence);
+    members_ping_addr(members, out, node->member.peer_addr, node, sequence);
 }
 
 /* All records, in as many messages as they need, for one that is new. */
 static void
-sync_all(members_t *members, member_out_t *out, const char *addr)
+sync_all(members_t *members, member_outbox_t *out, const char *addr)
 {
     member_message_t *message = NULL;
     member_node_t *node;
@@ -151,7 +151,7 @@
         node->since_ms = now_ms;
     }
     node->member = *record;
-    node->member.changed_ms = now_ms;
+    node->member.health_changed_ms = now_ms;
     node->verified = 0;
     node->news_left = members_news_times(members);
     return anew;
@@ -165,8 +165,8 @@
     if (node == NULL || record->incarnation != node->member.incarnation) {
         return;
     }
-    if (record->generation > node->member.generation) {
-        node->member.generation = record->generation;
+    if (record->config_generation > node->member.config_generation) {
+        node->member.config_generation = record->config_generation;
     }
     /* It has to learn of the suspicion to deny it for all. */
     if (node->member.health != MEMBER_ALIVE &&
@@ -177,11 +177,11 @@
 
 static void
 answer_ping(members_t *members, const member_message_t *message,
-            member_out_t *out)
+            member_outbox_t *out)
 {
     const member_t *sender = &message->records[0];
-    member_message_t *ack = members_message_add(members, out, sender->peer,
-                                                MEMBER_ACK, message->sequence);
+    member_message_t *ack = members_message_add(
+        members, out, sender->peer_addr, MEMBER_ACK, message->sequence);
     member_node_t *node = members_find(members, sender->name);
     if (ack == NULL) {
         return;
@@ -191,7 +191,7 @@
 }
 
 static void
-take_ack(members_t *members, uint64_t sequence, member_out_t *out)
+take_ack(members_t *members, uint64_t sequence, member_outbox_t *out)
 {
     if (sequence == members->probe) {
         members->probed[0] = '\0';
@@ -208,7 +208,7 @@
 
 static void
 take_ask(members_t *members, const member_message_t *message,
-         member_out_t *out)
+         member_outbox_t *out)
 {
     member_node_t *node = members_find(members, message->target);
     relay_t *relay = &members->relays[members->relay_next++ % RELAYS_MAX];
@@ -217,7 +217,8 @@
     }
     relay->sequence = ++members->sequence;
     relay->wanted = message->sequence;
-    str_copy(relay->asker, sizeof(relay->asker), message->records[0].peer);
+    str_copy(relay->asker, sizeof(relay->asker),
+             message->records[0].peer_addr);
     members_ping(members, out, node, relay->sequence);
 }
 
@@ -237,7 +238,7 @@
 /* Take in what a peer sent; fills what is to be sent in answer. */
 void
 members_receive(members_t *members, const member_message_t *message,
-                int64_t now_ms, member_out_t *out)
+                int64_t now_ms, member_outbox_t *out)
 {
     LOCK_SCOPE(&members->lock);
     out->count = 0;
@@ -256,13 +257,13 @@
         case MEMBER_ACK:
             take_ack(members, message->sequence, out);
             break;
-        case MEMBER_ASK:
+        case MEMBER_PING_REQ:
             take_ask(members, message, out);
             break;
         case MEMBER_SYNC:
             return;
     }
     if (wants_all(members, message, anew, now_ms)) {
-        sync_all(members, out, message->records[0].peer);
+        sync_all(members, out, message->records[0].peer_addr);
     }
 }
--- a/kernel/members-round.c
+++ b/kernel/members-round.c
@@ -25,7 +25,7 @@
            int64_t now_ms)
 {
     node->member.health = health;
-    node->member.changed_ms = now_ms;
+    node->member.health_changed_ms = now_ms;
     node->verified = 0;
     node->news_left = members_news_times(members);
 }
@@ -35,9 +35,9 @@
  * again, since that ping or its answer may be lost too. */
 static void
 judge_suspect(members_t *members, member_node_t *node, int64_t now_ms,
-              member_out_t *out)
+              member_outbox_t *out)
 {
-    int64_t age = now_ms - node->member.changed_ms;
+    int64_t age = now_ms - node->member.health_changed_ms;
     int64_t limit = suspect_ms(members);
     if (age > limit) {
         set_health(members, node, MEMBER_DEAD, now_ms);
@@ -50,12 +50,12 @@
 }
 
 static void
-judge(members_t *members, int64_t now_ms, member_out_t *out)
+judge(members_t *members, int64_t now_ms, member_outbox_t *out)
 {
     member_node_t *node;
     member_node_t *next;
     CK_LIST_FOREACH_SAFE (node, &members->list, entry, next) {
-        int64_t age = now_ms - node->member.changed_ms;
+        int64_t age = now_ms - node->member.health_changed_ms;
         if (node->member.health == MEMBER_SUSPECT) {
             judge_suspect(members, node, now_ms, out);
         }
@@ -96,7 +96,7 @@
 }
 
 static void
-begin_round(members_t *members, member_out_t *out)
+begin_round(members_t *members, member_outbox_t *out)
 {
     member_node_t *node = next_probe(members);
     members->probed[0] = '\0';
@@ -125,7 +125,7 @@
 
 /* Half a round without an answer: a few others are asked to try. */
 static void
-ask_helpers(members_t *members, member_out_t *out)
+ask_helpers(members_t *members, member_outbox_t *out)
 {
     for (int i = 0; i < HELPERS && members->probed[0] != '\0'; i++) {
         member_node_t *helper = node_random(members, MEMBER_ALIVE);
@@ -133,8 +133,9 @@
             strcmp(helper->member.name, members->probed) == 0) {
             continue;
         }
-        member_message_t *message = members_message_add(
-            members, out, helper->member.peer, MEMBER_ASK, members->probe);
+        member_message_t *message =
+            members_message_add(members, out, helper->member.peer_addr,
+                                MEMBER_PING_REQ, members->probe);
         if (message != NULL) {
             str_copy(message->target, sizeof(message->target),
                      members->probed);
@@ -143,7 +144,7 @@
 }
 
 static void
-end_round(members_t *members, int64_t now_ms, member_out_t *out)
+end_round(members_t *members, int64_t now_ms, member_outbox_t *out)
 {
     member_node_t *node = members->probed[0] == '\0'
                               ? NULL
@@ -156,7 +157,7 @@
 
 /* Greet a random seed. */
 static void
-greet_seed(members_t *members, member_out_t *out)
+greet_seed(members_t *members, member_outbox_t *out)
 {
     uint64_t at = rng_below(&members->rng, members->seed_count);
     members_ping_addr(members, out, members->seeds[at], NULL,
@@ -167,7 +168,7 @@
  * round news would take a minute to get about: a daemon that knows less than
  * three quarters of its seeds greets a few of them each tick. */
 static void
-greet_many(members_t *members, member_out_t *out)
+greet_many(members_t *members, member_outbox_t *out)
 {
     for (int i = 0;
          i < GREETINGS_A_TICK && members->count < members->seed_count * 3 / 4;
@@ -179,7 +180,7 @@
 /* Greet a seed while few are known, and now and then one of the dead, so
  * that a cut that has healed is noticed from either side. */
 static void
-greet(members_t *members, member_out_t *out)
+greet(members_t *members, member_outbox_t *out)
 {
     bool heal = members->ticks / 2 % HEAL_EVERY == 0;
     member_node_t *dead = heal ? node_random(members, MEMBER_DEAD) : NULL;
@@ -194,7 +195,7 @@
 /* One tick of time; fills what is to be sent. */
 void
 members_tick(members_t *members, int64_t now_ms, int64_t generation,
-             member_intent_t intent, member_out_t *out)
+             member_intent_t intent, member_outbox_t *out)
 {
     LOCK_SCOPE(&members->lock);
     out->count = 0;
@@ -202,7 +203,7 @@
         members->self.intent = intent;
         members->self.version++;
     }
-    members->self.generation = generation;
+    members->self.config_generation = generation;
     members->ticks++;
     judge(members, now_ms, out);
     greet_many(members, out);
--- a/kernel/members-table.h
+++ b/kernel/members-table.h
@@ -49,13 +49,14 @@
 /* These are called with the table's lock held. */
 member_node_t *members_find(members_t *members, const char *name);
 unsigned members_news_times(const members_t *members);
-member_message_t *members_message_add(members_t *members, member_out_t *out,
+member_message_t *members_message_add(members_t *members, member_outbox_t *out,
                                       const char *addr,
                                       member_message_kind_t kind,
                                       uint64_t sequence);
-void members_ping_addr(members_t *members, member_out_t *out, const char *addr,
-                       const member_node_t *node, uint64_t sequence);
-void members_ping(members_t *members, member_out_t *out,
+void members_ping_addr(members_t *members, member_outbox_t *out,
+                       const char *addr, const member_node_t *node,
+                       uint64_t sequence);
+void members_ping(members_t *members, member_outbox_t *out,
                   const member_node_t *node, uint64_t sequence);
 
 #endif
--- a/kernel/members.c
+++ b/kernel/members.c
@@ -37,17 +37,17 @@
 
 /* An address to greet until its daemon is known. */
 void
-members_seed(members_t *members, const char *peer)
+members_add_seed(members_t *members, const char *peer)
 {
     LOCK_SCOPE(&members->lock);
     if (members->seed_count < SEEDS_MAX &&
-        strcmp(peer, members->self.peer) != 0) {
+        strcmp(peer, members->self.peer_addr) != 0) {
         str_copy(members->seeds[members->seed_count++], CS_ADDR_MAX, peer);
     }
 }
 
 int
-members_interval_ms(void)
+members_tick_interval_ms(void)
 {
     return TICK_MS;
 }
@@ -98,18 +98,18 @@
 /* Whether a duty falls to this daemon by rendezvous over the live ones.  Two
  * daemons may think so at once; duties are an optimisation only. */
 bool
-members_duty(members_t *members, const char *duty)
+members_has_duty(members_t *members, const char *duty)
 {
     LOCK_SCOPE(&members->lock);
     uint64_t key = str_hash(duty, 0);
-    uint64_t mine = place_weight(key, members->self.name);
+    uint64_t mine = place_rendezvous_weight(key, members->self.name);
     member_node_t *node;
     if (members->self.intent == MEMBER_LEAVING) {
         return false;
     }
     CK_LIST_FOREACH (node, &members->list, entry) {
         if (takes_duties(&node->member) &&
-            place_weight(key, node->member.name) > mine) {
+            place_rendezvous_weight(key, node->member.name) > mine) {
             return false;
         }
     }
@@ -123,12 +123,12 @@
 {
     LOCK_SCOPE(&members->lock);
     uint64_t key = str_hash(duty, 0);
-    uint64_t mine = place_weight(key, members->self.name);
+    uint64_t mine = place_rendezvous_weight(key, members->self.name);
     size_t before = 0;
     const member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
         before += takes_duties(&node->member) &&
-                  place_weight(key, node->member.name) > mine;
+                  place_rendezvous_weight(key, node->member.name) > mine;
     }
     return before;
 }
@@ -138,9 +138,9 @@
 owner_put(const member_t *member, uint64_t key, member_t *out, size_t count,
           size_t max)
 {
-    uint64_t weight = place_weight(key, member->name);
+    uint64_t weight = place_rendezvous_weight(key, member->name);
     size_t at = count;
-    while (at > 0 && place_weight(key, out[at - 1].name) < weight) {
+    while (at > 0 && place_rendezvous_weight(key, out[at - 1].name) < weight) {
         at--;
     }
     if (at == max) {
@@ -153,11 +153,11 @@
 }
 
 /* The daemons that share a duty, at most max, by rendezvous over the live
- * ones, this one included.  Like members_duty, they may be seen differently
- * elsewhere for a while. */
+ * ones, this one included.  Like members_has_duty, they may be seen
+ * differently elsewhere for a while. */
 size_t
-members_duty_owners(members_t *members, const char *duty, member_t *out,
-                    size_t max)
+members_list_duty_owners(members_t *members, const char *duty, member_t *out,
+                         size_t max)
 {
     LOCK_SCOPE(&members->lock);
     uint64_t key = str_hash(duty, 0);
@@ -176,7 +176,7 @@
 
 /* How many daemons serve, this one included. */
 size_t
-members_live(members_t *members)
+members_live_count(members_t *members)
 {
     LOCK_SCOPE(&members->lock);
     size_t live = 1;
@@ -190,16 +190,16 @@
 /* The highest configuration generation among live peers, and who has it; -1
  * where there is none. */
 int64_t
-members_generation(members_t *members, char peer[CS_ADDR_MAX])
+members_newest_generation(members_t *members, char peer[CS_ADDR_MAX])
 {
     LOCK_SCOPE(&members->lock);
     int64_t best = -1;
     member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
         if (node->member.health == MEMBER_ALIVE &&
-            node->member.generation > best) {
-            best = node->member.generation;
-            str_copy(peer, CS_ADDR_MAX, node->member.peer);
+            node->member.config_generation > best) {
+            best = node->member.config_generation;
+            str_copy(peer, CS_ADDR_MAX, node->member.peer_addr);
         }
     }
     return best;
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -23,7 +23,7 @@
     backend_state_t state;
     return backend->kind == BACKEND_ENGINE &&
            strcmp(backend->serves, model->name) == 0 &&
-           view_get(daemon->view, view_id(daemon->view, backend->name),
+           view_get(daemon->view, view_assign_id(daemon->view, backend->name),
                     &state) &&
            state.reported && strcmp(state.load.version, model->version) != 0;
 }
@@ -132,7 +132,7 @@
             return;
         }
         (void)snprintf(duty, sizeof(duty), "order/%s", backend->name);
-        if (members_duty(daemon->members, duty)) {
+        if (members_has_duty(daemon->members, duty)) {
             issue(daemon, config, model, backend);
         }
     }
--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -28,12 +28,12 @@
     (void)msgpack_pack_array(packer, MEMBER_FIELDS);
     pack_text(packer, member->name);
     pack_text(packer, member->dc);
-    pack_text(packer, member->peer);
-    pack_text(packer, member->http);
+    pack_text(packer, member->peer_addr);
+    pack_text(packer, member->http_addr);
     (void)msgpack_pack_uint64(packer, member->incarnation);
     (void)msgpack_pack_uint64(packer, member->version);
     (void)msgpack_pack_int(packer, (int)member->intent);
-    (void)msgpack_pack_int64(packer, member->generation);
+    (void)msgpack_pack_int64(packer, member->config_generation);
     (void)msgpack_pack_int(packer, (int)member->health);
 }
 
@@ -57,8 +57,8 @@
     (void)msgpack_pack_int(packer, fact->load.slots);
     (void)msgpack_pack_int(packer, fact->load.waiting_tokens);
     (void)msgpack_pack_int(packer, fact->load.prefill_rate);
-    (void)msgpack_pack_uint64(packer, fact->load.filled);
-    (void)msgpack_pack_int(packer, fact->load.at_server);
+    (void)msgpack_pack_uint64(packer, fact->load.unshared_tokens);
+    (void)msgpack_pack_int(packer, fact->load.total_running);
 }
 
 static void
@@ -192,8 +192,8 @@
         object->via.array.size != MEMBER_FIELDS ||
         !take_text(&at[0], member->name, sizeof(member->name)) ||
         !take_text(&at[1], member->dc, sizeof(member->dc)) ||
-        !take_text(&at[2], member->peer, sizeof(member->peer)) ||
-        !take_text(&at[3], member->http, sizeof(member->http)) ||
+        !take_text(&at[2], member->peer_addr, sizeof(member->peer_addr)) ||
+        !take_text(&at[3], member->http_addr, sizeof(member->http_addr)) ||
         !take_unsigned(&at[4], &member->incarnation) ||
         !take_unsigned(&at[5], &member->version) ||
         !take_int(&at[6], &intent) || !take_unsigned(&at[7], &generation) ||
@@ -203,7 +203,7 @@
     }
     member->health = (member_health_t)health;
     member->intent = intent == MEMBER_LEAVING ? MEMBER_LEAVING : MEMBER_LIVE;
-    member->generation = (int64_t)generation;
+    member->config_generation = (int64_t)generation;
     return true;
 }
 
@@ -236,7 +236,7 @@
     if (!take_unsigned(&at[8], &filled)) {
         return false;
     }
-    load->filled = (uint32_t)filled;
+    load->unshared_tokens = (uint32_t)filled;
     return take_text(&at[1], load->incarnation, sizeof(load->incarnation)) &&
            take_text(&at[2], load->version, sizeof(load->version)) &&
            take_text(&at[3], load->loading, sizeof(load->loading)) &&
@@ -244,7 +244,7 @@
            take_int(&at[5], &load->slots) &&
            take_int(&at[6], &load->waiting_tokens) &&
            take_int(&at[7], &load->prefill_rate) &&
-           take_int(&at[9], &load->at_server);
+           take_int(&at[9], &load->total_running);
 }
 
 static bool
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -93,20 +93,20 @@
 static void
 take_fact(celeryspoold_t *daemon, const peer_fact_t *fact)
 {
-    uint16_t id = view_id(daemon->view, fact->backend);
+    uint16_t id = view_assign_id(daemon->view, fact->backend);
     if (fact->is_load) {
         feed_take_load(daemon, fact->backend, &fact->load);
     }
     else if (fact->held) {
-        (void)cache_map_note(daemon->cache, id, fact->key, fact->tokens);
+        (void)cache_map_add_holder(daemon->cache, id, fact->key, fact->tokens);
     }
     else {
-        (void)cache_map_drop(daemon->cache, id, fact->key);
+        (void)cache_map_remove_holder(daemon->cache, id, fact->key);
     }
 }
 
 static void
-send_members(peer_t *peer, const member_out_t *out)
+send_members(peer_t *peer, const member_outbox_t *out)
 {
     unsigned char data[PEER_DATAGRAM_MAX];
     peer_datagram_t *datagram = mem_zalloc(sizeof(*datagram));
@@ -123,7 +123,8 @@
 }
 
 static void
-take_datagram(peer_t *peer, const peer_datagram_t *datagram, member_out_t *out)
+take_datagram(peer_t *peer, const peer_datagram_t *datagram,
+              member_outbox_t *out)
 {
     celeryspoold_t *daemon = peer->daemon;
     switch (datagram->kind) {
@@ -150,7 +151,7 @@
     peer_t *peer = arg;
     unsigned char data[PEER_DATAGRAM_MAX];
     peer_datagram_t *datagram = mem_zalloc(sizeof(*datagram));
-    member_out_t *out = mem_zalloc(sizeof(*out));
+    member_outbox_t *out = mem_zalloc(sizeof(*out));
     while (!__atomic_load_n(&peer->stop, __ATOMIC_ACQUIRE)) {
         ssize_t len = recv(peer->udp, data, sizeof(data), 0);
         if (len <= 0) {
@@ -366,7 +367,7 @@
         members_list(peer->daemon->members, list, DIRECT_PEERS_MAX + 1);
     for (size_t i = 1; i < count; i++) {
         if (list[i].health != MEMBER_DEAD) {
-            send_to(peer, list[i].peer, data, len);
+            send_to(peer, list[i].peer_addr, data, len);
         }
     }
 }
@@ -412,7 +413,7 @@
 beat(peer_t *peer)
 {
     celeryspoold_t *daemon = peer->daemon;
-    member_out_t *out = mem_zalloc(sizeof(*out));
+    member_outbox_t *out = mem_zalloc(sizeof(*out));
     config_t *config = daemon_config(daemon);
     members_tick(
         daemon->members, time_mono_ms(), config->generation,
@@ -430,7 +431,7 @@
     int64_t now = time_mono_ms();
     flush_facts(peer);
     if (now >= peer->next_beat_ms) {
-        peer->next_beat_ms = now + members_interval_ms();
+        peer->next_beat_ms = now + members_tick_interval_ms();
         beat(peer);
     }
 }
--- a/kernel/place.c
+++ b/kernel/place.c
@@ -41,7 +41,7 @@
 
 /* Rendezvous weight of a name for a key (Thaler and Ravishankar). */
 uint64_t
-place_weight(uint64_t key, const char *name)
+place_rendezvous_weight(uint64_t key, const char *name)
 {
     return str_hash(name, key);
 }
@@ -58,11 +58,12 @@
 }
 
 static bool
-is_avoided(const place_scene_t *scene, const char *name)
+is_avoided(const place_context_t *scene, const char *name)
 {
-    for (size_t i = 0; i < sizeof(scene->avoid) / sizeof(scene->avoid[0]);
-         i++) {
-        if (scene->avoid[i] != NULL && strcmp(scene->avoid[i], name) == 0) {
+    for (size_t i = 0;
+         i < sizeof(scene->excluded) / sizeof(scene->excluded[0]); i++) {
+        if (scene->excluded[i] != NULL &&
+            strcmp(scene->excluded[i], name) == 0) {
             return true;
         }
     }
@@ -70,13 +71,13 @@
 }
 
 static bool
-is_usable(const place_scene_t *scene, const backend_t *backend,
+is_usable(const place_context_t *scene, const backend_t *backend,
           const backend_state_t *state, const char *version)
 {
     if (config_backend_open(scene->config, backend, scene->wall_ms) !=
             OPEN_YES ||
         state->host_leaving || state->load.loading[0] != '\0' ||
-        scene->now_ms < state->broken_until ||
+        scene->now_ms < state->circuit_open_until_ms ||
         is_avoided(scene, backend->name)) {
         return false;
     }
@@ -88,9 +89,9 @@
  * configuration and windows, not leaving, circuit closed, not tried before,
  * and on the wanted weights where a version is asked for. */
 size_t
-place_candidates(const place_scene_t *scene, const char *serves,
-                 const prefix_t *prefix, const char *version, candidate_t *out,
-                 size_t max)
+place_list_candidates(const place_context_t *scene, const char *serves,
+                      const prefix_t *prefix, const char *version,
+                      candidate_t *out, size_t max)
 {
     size_t count = 0;
     uint64_t home = home_key(prefix);
@@ -101,7 +102,7 @@
             strcmp(backend->serves, serves) != 0) {
             continue;
         }
-        uint16_t id = view_id(scene->view, backend->name);
+        uint16_t id = view_assign_id(scene->view, backend->name);
         if (!view_get(scene->view, id, &state) ||
             !is_usable(scene, backend, &state, version)) {
             continue;
@@ -112,13 +113,15 @@
         str_copy(found->incarnation, sizeof(found->incarnation),
                  state.load.incarnation);
         str_copy(found->version, sizeof(found->version), state.load.version);
-        found->wait_ms = view_wait_ms(&state);
-        found->rate = view_rate(&state);
+        found->wait_ms = view_expected_wait_ms(&state);
+        found->prefill_rate = view_prefill_rate(&state);
         found->running = state.load.running > state.own_running
                              ? state.load.running
                              : state.own_running;
-        found->cached = cache_map_cached(scene->cache, prefix, id);
-        found->rank = place_weight(home, backend->name);
+        found->cached_tokens =
+            cache_map_cached_tokens(scene->cache, prefix, id);
+        found->rendezvous_weight =
+            place_rendezvous_weight(home, backend->name);
         found->same_dc = strcmp(backend->dc, scene->dc) == 0;
     }
     return count;
@@ -126,9 +129,10 @@
 
 /* Time to prefill what a candidate does not hold, in ms. */
 double
-place_recompute_ms(const candidate_t *candidate, const prefix_t *prefix)
+place_prefill_ms(const candidate_t *candidate, const prefix_t *prefix)
 {
-    uint32_t held = candidate->cached < prefix->tokens ? candidate->cached
-                                                       : prefix->tokens;
-    return (prefix->tokens - held) * 1000.0 / candidate->rate;
+    uint32_t held = candidate->cached_tokens < prefix->tokens
+                        ? candidate->cached_tokens
+                        : prefix->tokens;
+    return (prefix->tokens - held) * 1000.0 / candidate->prefill_rate;
 }
--- a/kernel/prefix.c
+++ b/kernel/prefix.c
@@ -11,14 +11,14 @@
 
 /* The parent of the first block. */
 uint64_t
-prefix_root(const char *salt, const char *version)
+prefix_root_key(const char *salt, const char *version)
 {
     return str_hash(version, str_hash(salt, 0));
 }
 
 /* The key of a block of PREFIX_BLOCK_BYTES bytes behind its parent. */
 uint64_t
-prefix_chain(uint64_t parent, const char *block)
+prefix_block_key(uint64_t parent, const char *block)
 {
     return XXH3_64bits_withSeed(block, PREFIX_BLOCK_BYTES, parent);
 }
@@ -49,7 +49,7 @@
 chain_to(const buf_t *text, uint64_t key, size_t *done)
 {
     while (*done + PREFIX_BLOCK_BYTES <= text->len) {
-        key = prefix_chain(key, text->data + *done);
+        key = prefix_block_key(key, text->data + *done);
         *done += PREFIX_BLOCK_BYTES;
     }
     return key;
@@ -77,7 +77,7 @@
                const char *version)
 {
     CLEAN_BUF buf_t text = {0};
-    uint64_t key = prefix_root(salt, version);
+    uint64_t key = prefix_root_key(salt, version);
     size_t done = 0;
     size_t i;
     const json_t *message;
@@ -92,7 +92,7 @@
 
 /* How many tokens two prompts share, by their common levels. */
 uint32_t
-prefix_shared(const prefix_t *a, const prefix_t *b)
+prefix_shared_tokens(const prefix_t *a, const prefix_t *b)
 {
     uint32_t shared = 0;
     for (unsigned i = 0; i < a->count && i < b->count; i++) {
--- a/kernel/prefix.h
+++ b/kernel/prefix.h
@@ -23,11 +23,11 @@
     uint32_t tokens; /* of the whole prompt */
 } prefix_t;
 
-uint64_t prefix_root(const char *salt, const char *version);
-uint64_t prefix_chain(uint64_t parent, const char *block);
+uint64_t prefix_root_key(const char *salt, const char *version);
+uint64_t prefix_block_key(uint64_t parent, const char *block);
 void prefix_render(const json_t *messages, buf_t *text);
 void prefix_compute(prefix_t *prefix, const json_t *messages, const char *salt,
                     const char *version);
-uint32_t prefix_shared(const prefix_t *a, const prefix_t *b);
+uint32_t prefix_shared_tokens(const prefix_t *a, const prefix_t *b);
 
 #endif
--- a/kernel/resume.c
+++ b/kernel/resume.c
@@ -26,8 +26,8 @@
 /* The salt that separates the engines' caches by workspace and model.  It is
  * derived from the deployment's secret, so that no caller can guess it. */
 void
-cache_salt(const unsigned char *secret, const char *workspace,
-           const char *model, char out[CS_ID_LEN + 1])
+cache_salt_derive(const unsigned char *secret, const char *workspace,
+                  const char *model, char out[CS_ID_LEN + 1])
 {
     unsigned char raw[MAC_BYTES];
     char text[CS_NAME_MAX * 2 + 2];
@@ -39,16 +39,17 @@
 /* Seal what a stream is into text; ".OFFSET" is put behind it. */
 void
 resume_seal(const resume_t *resume, const unsigned char *secret,
-            char out[RESUME_TEXT_MAX])
+            char out[RESUME_TOKEN_MAX])
 {
     unsigned char raw[RAW_MAX + MAC_BYTES];
-    int len = snprintf((char *)raw + MAC_BYTES, RAW_MAX,
-                       "%s\n%s\n%s\n%s\n%s\n%016llx", resume->workspace,
-                       resume->backend, resume->incarnation, resume->stream,
-                       resume->version, (unsigned long long)resume->ask);
+    int len =
+        snprintf((char *)raw + MAC_BYTES, RAW_MAX,
+                 "%s\n%s\n%s\n%s\n%s\n%016llx", resume->workspace,
+                 resume->backend, resume->incarnation, resume->stream,
+                 resume->version, (unsigned long long)resume->prompt_hash);
     mac(raw, secret, "resume", raw + MAC_BYTES, (size_t)len);
-    (void)sodium_bin2base64(out, RESUME_TEXT_MAX, raw, (size_t)len + MAC_BYTES,
-                            VARIANT);
+    (void)sodium_bin2base64(out, RESUME_TOKEN_MAX, raw,
+                            (size_t)len + MAC_BYTES, VARIANT);
 }
 
 static bool
@@ -75,7 +76,7 @@
         !take_line(&rest, ask, sizeof(ask))) {
         return false;
     }
-    resume->ask = strtoull(ask, NULL, 16);
+    resume->prompt_hash = strtoull(ask, NULL, 16);
     return true;
 }
 
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -105,7 +105,7 @@
     metrics_gauge(&text, "calls_running", (double)daemon_running(daemon));
     metrics_gauge(&text, "calls_waiting", (double)dispatch_waiting(daemon));
     metrics_gauge(&text, "members_live",
-                  (double)members_live(daemon->members));
+                  (double)members_live_count(daemon->members));
     metrics_gauge(&text, "cache_map_entries",
                   (double)cache_map_size(daemon->cache));
     metrics_gauge(&text, "store_calls", (double)store_calls(daemon->store));
--- a/kernel/sched.c
+++ b/kernel/sched.c
@@ -128,7 +128,7 @@
     if (flow->count == 0 && flow->finish < sched->now) {
         flow->finish = sched->now;
     }
-    item->first = flow->count == 0;
+    item->first_of_workspace = flow->count == 0;
     CK_STAILQ_INSERT_TAIL(&flow->items, item, entry);
     flow->count++;
     flow->cost += item->cost;
@@ -198,7 +198,7 @@
 
 /* Take out one item whose deadline has passed, or NULL. */
 sched_item_t *
-sched_expired(sched_t *sched, int64_t now_ms)
+sched_take_expired(sched_t *sched, int64_t now_ms)
 {
     LOCK_SCOPE(&sched->lock);
     flow_t *flow;
@@ -215,7 +215,7 @@
 }
 
 size_t
-sched_waiting(sched_t *sched)
+sched_waiting_count(sched_t *sched)
 {
     LOCK_SCOPE(&sched->lock);
     return sched->count;
@@ -267,7 +267,7 @@
 
 /* Whether a retry may be made; it is paid for if so. */
 bool
-retry_budget_spend(retry_budget_t *budget)
+retry_budget_try_spend(retry_budget_t *budget)
 {
     uint64_t have;
     do {
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -11,7 +11,7 @@
 {
     json_t *list = json_array();
     cache_fact_t *facts = mem_zalloc(max * sizeof(*facts));
-    size_t count = cache_map_hottest(daemon->cache, facts, max);
+    size_t count = cache_map_list_reused(daemon->cache, facts, max);
     for (size_t i = 0; i < count; i++) {
         backend_state_t state;
         if (view_get(daemon->view, facts[i].backend, &state)) {
@@ -70,7 +70,7 @@
         return;
     }
     backend_state_t state;
-    uint16_t id = view_id(daemon->view, name);
+    uint16_t id = view_assign_id(daemon->view, name);
     if (view_get(daemon->view, id, &state) && state.reported) {
         return; /* what was heard since the start is newer */
     }
@@ -86,8 +86,9 @@
     json_int_t key;
     int tokens;
     if (json_unpack((json_t *)fact, "[s,I,i]", &name, &key, &tokens) == 0) {
-        (void)cache_map_note(daemon->cache, view_id(daemon->view, name),
-                             (uint64_t)key, (uint32_t)tokens);
+        (void)cache_map_add_holder(daemon->cache,
+                                   view_assign_id(daemon->view, name),
+                                   (uint64_t)key, (uint32_t)tokens);
     }
 }
 
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -28,22 +28,24 @@
 
 cache_map_t *cache_map_new(size_t entries_max);
 void cache_map_free(cache_map_t *map);
-bool cache_map_note(cache_map_t *map, uint16_t backend, uint64_t key,
-                    uint32_t tokens);
-bool cache_map_note_at(cache_map_t *map, uint16_t backend, uint64_t key,
-                       uint32_t tokens, int64_t now_ms);
-bool cache_map_drop(cache_map_t *map, uint16_t backend, uint64_t key);
-void cache_map_forget(cache_map_t *map, uint16_t backend);
-uint32_t cache_map_cached(cache_map_t *map, const prefix_t *prefix,
-                          uint16_t backend);
-uint32_t cache_map_cached_since(cache_map_t *map, const prefix_t *prefix,
-                                uint16_t backend, int64_t since_ms);
-size_t cache_map_holders(cache_map_t *map, uint64_t key, int64_t since_ms,
-                         uint16_t *out, size_t max);
-bool cache_map_knows(cache_map_t *map, uint64_t key);
+bool cache_map_add_holder(cache_map_t *map, uint16_t backend, uint64_t key,
+                          uint32_t tokens);
+bool cache_map_add_holder_at(cache_map_t *map, uint16_t backend, uint64_t key,
+                             uint32_t tokens, int64_t now_ms);
+bool cache_map_remove_holder(cache_map_t *map, uint16_t backend, uint64_t key);
+void cache_map_clear_backend(cache_map_t *map, uint16_t backend);
+uint32_t cache_map_cached_tokens(cache_map_t *map, const prefix_t *prefix,
+                                 uint16_t backend);
+uint32_t cache_map_cached_tokens_since(cache_map_t *map,
+                                       const prefix_t *prefix,
+                                       uint16_t backend, int64_t since_ms);
+size_t cache_map_list_holders(cache_map_t *map, uint64_t key, int64_t since_ms,
+                              uint16_t *out, size_t max);
+bool cache_map_has_key(cache_map_t *map, uint64_t key);
 size_t cache_map_size(cache_map_t *map);
-size_t cache_map_hottest(cache_map_t *map, cache_fact_t *facts, size_t max);
-size_t cache_map_memory(cache_map_t *map);
+size_t cache_map_list_reused(cache_map_t *map, cache_fact_t *facts,
+                             size_t max);
+size_t cache_map_memory_bytes(cache_map_t *map);
 
 /* ---- view: what is known of each backend server now ---- */
 
@@ -54,26 +56,28 @@
     int running;
     int slots;
     int waiting_tokens;
-    int prefill_rate; /* tokens a second */
-    uint32_t filled;  /* tokens of requests' own parts, of all time, wraps */
-    int at_server;    /* requests of all, by the server's word; -1: not told */
+    int prefill_rate;         /* tokens a second */
+    uint32_t unshared_tokens; /* tokens of requests' own parts, of all time,
+                                 wraps */
+    int total_running; /* requests of all, by the server's word; -1: not told
+                        */
 } load_report_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
     load_report_t load;
     bool reported;
-    load_report_t told; /* what peers were last told of it */
-    int64_t told_ms;
+    load_report_t announced; /* what peers were last told of it */
+    int64_t announced_ms;
     bool host_leaving; /* by the platform's host list */
-    int64_t report_ms;
-    double sent_since;  /* own uncached tokens sent since the report */
-    double own_waiting; /* own uncached tokens without a first token */
+    int64_t reported_ms;
+    double sent_since_report;  /* own uncached tokens sent since the report */
+    double own_waiting_tokens; /* own uncached tokens without a first token */
     int own_running;
-    unsigned failures;     /* in a row */
-    int64_t broken_until;  /* the circuit is open until then */
-    double slowness;       /* observed over expected time, smoothed */
-    uint64_t events_after; /* number of the last cache event read */
+    unsigned consecutive_failures; /* in a row */
+    int64_t circuit_open_until_ms; /* the circuit is open until then */
+    double slowness;               /* observed over expected time, smoothed */
+    uint64_t last_event;           /* number of the last cache event read */
     char events_incarnation[CS_ID_LEN + 1];
 } backend_state_t;
 
@@ -81,24 +85,25 @@
 
 view_t *view_new(void);
 void view_free(view_t *view);
-uint16_t view_id(view_t *view, const char *name);
+uint16_t view_assign_id(view_t *view, const char *name);
 bool view_get(view_t *view, uint16_t id, backend_state_t *out);
-bool view_report(view_t *view, uint16_t id, const load_report_t *report,
-                 int64_t now_ms);
-void view_told(view_t *view, uint16_t id, const load_report_t *report,
-               int64_t now_ms);
-void view_version(view_t *view, uint16_t id, const char *version);
-void view_sent(view_t *view, uint16_t id, double tokens);
-void view_first_token(view_t *view, uint16_t id, double tokens,
-                      double expected_ms, double observed_ms);
-void view_ended(view_t *view, uint16_t id, bool started, double tokens);
-void view_failed(view_t *view, uint16_t id, int64_t now_ms);
-void view_succeeded(view_t *view, uint16_t id);
-void view_host_leaving(view_t *view, uint16_t id, bool leaving);
-void view_events_at(view_t *view, uint16_t id, const char *incarnation,
-                    uint64_t after);
-double view_wait_ms(const backend_state_t *state);
-double view_rate(const backend_state_t *state);
+bool view_apply_report(view_t *view, uint16_t id, const load_report_t *report,
+                       int64_t now_ms);
+void view_record_announced(view_t *view, uint16_t id,
+                           const load_report_t *report, int64_t now_ms);
+void view_set_version(view_t *view, uint16_t id, const char *version);
+void view_add_request(view_t *view, uint16_t id, double tokens);
+void view_record_first_token(view_t *view, uint16_t id, double tokens,
+                             double expected_ms, double observed_ms);
+void view_remove_request(view_t *view, uint16_t id, bool started,
+                         double tokens);
+void view_record_failure(view_t *view, uint16_t id, int64_t now_ms);
+void view_record_success(view_t *view, uint16_t id);
+void view_set_host_leaving(view_t *view, uint16_t id, bool leaving);
+void view_set_last_event(view_t *view, uint16_t id, const char *incarnation,
+                         uint64_t after);
+double view_expected_wait_ms(const backend_state_t *state);
+double view_prefill_rate(const backend_state_t *state);
 size_t view_count(view_t *view);
 
 /* ---- placement ---- */
@@ -109,25 +114,26 @@
     char incarnation[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
     double wait_ms;
-    double rate; /* tokens a second */
+    double prefill_rate; /* tokens a second */
     int running;
-    uint32_t cached; /* tokens of the prompt that are believed held */
-    uint64_t rank;   /* rendezvous weight; the highest is the home */
+    uint32_t cached_tokens; /* tokens of the prompt that are believed held */
+    uint64_t
+        rendezvous_weight; /* rendezvous weight; the highest is the home */
     bool same_dc;
 } candidate_t;
 
 typedef struct {
     const prefix_t *prefix;
     objective_t objective;
-    uint64_t turn; /* counts the placements of this daemon */
-} place_ask_t;
+    uint64_t placement_count; /* counts the placements of this daemon */
+} place_query_t;
 
 typedef struct policy {
     const char *name;
     const char *about;
     /* The index of the chosen candidate; there is at least one. */
     size_t (*choose)(const candidate_t *all, size_t count,
-                     const place_ask_t *ask);
+                     const place_query_t *ask);
     CK_SLIST_ENTRY(policy) entry;
 } policy_t;
 
@@ -140,17 +146,16 @@
     view_t *view;
     cache_map_t *cache;
     const char *dc;
-    int64_t now_ms;       /* monotonic */
-    int64_t wall_ms;      /* for windows */
-    const char *avoid[4]; /* backend servers that were tried already */
-} place_scene_t;
-
-size_t place_candidates(const place_scene_t *scene, const char *serves,
-                        const prefix_t *prefix, const char *version,
-                        candidate_t *out, size_t max);
-double place_recompute_ms(const candidate_t *candidate,
-                          const prefix_t *prefix);
-uint64_t place_weight(uint64_t key, const char *name);
+    int64_t now_ms;          /* monotonic */
+    int64_t wall_ms;         /* for windows */
+    const char *excluded[4]; /* backend servers that were tried already */
+} place_context_t;
+
+size_t place_list_candidates(const place_context_t *scene, const char *serves,
+                             const prefix_t *prefix, const char *version,
+                             candidate_t *out, size_t max);
+double place_prefill_ms(const candidate_t *candidate, const prefix_t *prefix);
+uint64_t place_rendezvous_weight(uint64_t key, const char *name);
 
 /* ---- fair queue before the backend servers ---- */
 
@@ -158,10 +163,10 @@
     CK_STAILQ_ENTRY(sched_item) entry;
     char workspace[CS_NAME_MAX];
     int share;
-    double cost;         /* tokens */
-    int64_t deadline_ms; /* monotonic */
-    int64_t placed_ms;   /* when its place was last thought over */
-    bool first;          /* nothing of its workspace waited when it came */
+    double cost;             /* tokens */
+    int64_t deadline_ms;     /* monotonic */
+    int64_t placed_ms;       /* when its place was last thought over */
+    bool first_of_workspace; /* nothing of its workspace waited when it came */
     void *owner;
 } sched_item_t;
 
@@ -177,8 +182,8 @@
 sched_item_t *sched_pop(sched_t *sched);
 sched_item_t *sched_take_stale(sched_t *sched, int64_t before_ms);
 void sched_put_back(sched_t *sched, sched_item_t *item);
-sched_item_t *sched_expired(sched_t *sched, int64_t now_ms);
-size_t sched_waiting(sched_t *sched);
+sched_item_t *sched_take_expired(sched_t *sched, int64_t now_ms);
+size_t sched_waiting_count(sched_t *sched);
 double sched_waiting_cost(sched_t *sched);
 int sched_retry_after_s(sched_t *sched, double tokens_per_s);
 
@@ -190,7 +195,7 @@
 
 void retry_budget_init(retry_budget_t *budget);
 void retry_budget_earn(retry_budget_t *budget);
-bool retry_budget_spend(retry_budget_t *budget);
+bool retry_budget_try_spend(retry_budget_t *budget);
 
 /* ---- resume tokens ---- */
 
@@ -200,17 +205,17 @@
     char incarnation[CS_ID_LEN + 1];
     char stream[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
-    uint64_t ask; /* hash of the prompt that the stream answers */
+    uint64_t prompt_hash; /* hash of the prompt that the stream answers */
 } resume_t;
 
-#define RESUME_TEXT_MAX 600
+#define RESUME_TOKEN_MAX 600
 
 void resume_seal(const resume_t *resume, const unsigned char *secret,
-                 char out[RESUME_TEXT_MAX]);
+                 char out[RESUME_TOKEN_MAX]);
 int resume_open(resume_t *resume, const unsigned char *secret,
                 const char *text, uint32_t *offset, err_t *err);
-void cache_salt(const unsigned char *secret, const char *workspace,
-                const char *model, char out[CS_ID_LEN + 1]);
+void cache_salt_derive(const unsigned char *secret, const char *workspace,
+                       const char *model, char out[CS_ID_LEN + 1]);
 
 /* ---- membership ---- */
 
@@ -220,25 +225,25 @@
 typedef struct {
     char name[CS_NAME_MAX];
     char dc[CS_NAME_MAX];
-    char peer[CS_ADDR_MAX];
-    char http[CS_ADDR_MAX];
+    char peer_addr[CS_ADDR_MAX];
+    char http_addr[CS_ADDR_MAX];
     uint64_t incarnation; /* of the process; grows with each start */
     uint64_t version;     /* of the record; only its subject raises it */
     member_intent_t intent;
     member_health_t health;
-    int64_t generation; /* of its configuration, when last heard */
-    int64_t changed_ms; /* when its health last changed here */
+    int64_t config_generation; /* of its configuration, when last heard */
+    int64_t health_changed_ms; /* when its health last changed here */
 } member_t;
 
 #define MEMBER_RECORDS_MAX 12
-#define MEMBER_OUT_MAX 48
+#define MEMBER_OUTBOX_MAX 48
 
 /* PING asks for an ACK; ASK asks a third member to ping a target and pass
  * its ACK back; SYNC only carries records. */
 typedef enum {
     MEMBER_PING = 1,
     MEMBER_ACK,
-    MEMBER_ASK,
+    MEMBER_PING_REQ,
     MEMBER_SYNC
 } member_message_kind_t;
 
@@ -252,27 +257,27 @@
 
 /* Messages to be sent, each to an address. */
 typedef struct {
-    member_message_t messages[MEMBER_OUT_MAX];
-    char addrs[MEMBER_OUT_MAX][CS_ADDR_MAX];
+    member_message_t messages[MEMBER_OUTBOX_MAX];
+    char addrs[MEMBER_OUTBOX_MAX][CS_ADDR_MAX];
     size_t count;
-} member_out_t;
+} member_outbox_t;
 
 typedef struct members members_t;
 
 members_t *members_new(const member_t *self, uint64_t seed);
 void members_free(members_t *members);
-void members_seed(members_t *members, const char *peer);
+void members_add_seed(members_t *members, const char *peer);
 void members_tick(members_t *members, int64_t now_ms, int64_t generation,
-                  member_intent_t intent, member_out_t *out);
+                  member_intent_t intent, member_outbox_t *out);
 void members_receive(members_t *members, const member_message_t *message,
-                     int64_t now_ms, member_out_t *out);
+                     int64_t now_ms, member_outbox_t *out);
 size_t members_list(members_t *members, member_t *out, size_t max);
-bool members_duty(members_t *members, const char *duty);
+bool members_has_duty(members_t *members, const char *duty);
 size_t members_duty_rank(members_t *members, const char *duty);
-size_t members_duty_owners(members_t *members, const char *duty, member_t *out,
-                           size_t max);
-size_t members_live(members_t *members);
-int64_t members_generation(members_t *members, char peer[CS_ADDR_MAX]);
-int members_interval_ms(void);
+size_t members_list_duty_owners(members_t *members, const char *duty,
+                                member_t *out, size_t max);
+size_t members_live_count(members_t *members);
+int64_t members_newest_generation(members_t *members, char peer[CS_ADDR_MAX]);
+int members_tick_interval_ms(void);
 
 #endif
--- a/kernel/view.c
+++ b/kernel/view.c
@@ -53,7 +53,7 @@
 /* The number under which a backend server stands in the tables of this
  * process, for its life.  Past BACKENDS_MAX names all share the last. */
 uint16_t
-view_id(view_t *view, const char *name)
+view_assign_id(view_t *view, const char *name)
 {
     LOCK_SCOPE(&view->lock);
     size_t at = index_of(view, name);
@@ -92,8 +92,8 @@
 /* Take a load report in; true if it shows another incarnation or version
  * than the one before, so that what was cached there is gone. */
 bool
-view_report(view_t *view, uint16_t id, const load_report_t *report,
-            int64_t now_ms)
+view_apply_report(view_t *view, uint16_t id, const load_report_t *report,
+                  int64_t now_ms)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
@@ -103,24 +103,24 @@
          strcmp(state->load.version, report->version) != 0);
     state->load = *report;
     state->reported = true;
-    state->report_ms = now_ms;
-    state->sent_since = 0;
+    state->reported_ms = now_ms;
+    state->sent_since_report = 0;
     return changed;
 }
 
 /* Note what peers have been told of a server's load. */
 void
-view_told(view_t *view, uint16_t id, const load_report_t *report,
-          int64_t now_ms)
+view_record_announced(view_t *view, uint16_t id, const load_report_t *report,
+                      int64_t now_ms)
 {
     LOCK_SCOPE(&view->lock);
-    view->states[id].told = *report;
-    view->states[id].told_ms = now_ms;
+    view->states[id].announced = *report;
+    view->states[id].announced_ms = now_ms;
 }
 
 /* Note the weights that a server itself has just told of. */
 void
-view_version(view_t *view, uint16_t id, const char *version)
+view_set_version(view_t *view, uint16_t id, const char *version)
 {
     LOCK_SCOPE(&view->lock);
     str_copy(view->states[id].load.version, CS_NAME_MAX, version);
@@ -128,29 +128,31 @@
 
 /* Count a request that goes out, by its uncached tokens. */
 void
-view_sent(view_t *view, uint16_t id, double tokens)
+view_add_request(view_t *view, uint16_t id, double tokens)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
-    state->sent_since += tokens;
-    state->own_waiting += tokens;
+    state->sent_since_report += tokens;
+    state->own_waiting_tokens += tokens;
     state->own_running++;
 }
 
 static void
 waiting_less(backend_state_t *state, double tokens)
 {
-    state->own_waiting -= tokens;
-    state->sent_since -= tokens;
-    state->own_waiting = state->own_waiting < 0 ? 0 : state->own_waiting;
-    state->sent_since = state->sent_since < 0 ? 0 : state->sent_since;
+    state->own_waiting_tokens -= tokens;
+    state->sent_since_report -= tokens;
+    state->own_waiting_tokens =
+        state->own_waiting_tokens < 0 ? 0 : state->own_waiting_tokens;
+    state->sent_since_report =
+        state->sent_since_report < 0 ? 0 : state->sent_since_report;
 }
 
 /* Count a first token.  How the time observed compares with the time that
  * was expected at sending shows a server that is slow, not dead. */
 void
-view_first_token(view_t *view, uint16_t id, double tokens, double expected_ms,
-                 double observed_ms)
+view_record_first_token(view_t *view, uint16_t id, double tokens,
+                        double expected_ms, double observed_ms)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
@@ -164,7 +166,7 @@
 
 /* Count the end of a request that had or had not brought a first token. */
 void
-view_ended(view_t *view, uint16_t id, bool started, double tokens)
+view_remove_request(view_t *view, uint16_t id, bool started, double tokens)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
@@ -176,31 +178,32 @@
 
 /* Count a failure; a few in a row open the circuit, each time for longer. */
 void
-view_failed(view_t *view, uint16_t id, int64_t now_ms)
+view_record_failure(view_t *view, uint16_t id, int64_t now_ms)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
-    state->failures++;
-    if (state->failures < FAILURES_TO_BREAK) {
+    state->consecutive_failures++;
+    if (state->consecutive_failures < FAILURES_TO_BREAK) {
         return;
     }
-    unsigned times = state->failures - FAILURES_TO_BREAK;
+    unsigned times = state->consecutive_failures - FAILURES_TO_BREAK;
     int64_t span = BREAK_MS << (times > 3 ? 3 : times);
-    state->broken_until = now_ms + (span > BREAK_MAX_MS ? BREAK_MAX_MS : span);
+    state->circuit_open_until_ms =
+        now_ms + (span > BREAK_MAX_MS ? BREAK_MAX_MS : span);
 }
 
 /* Count a success, which closes the circuit. */
 void
-view_succeeded(view_t *view, uint16_t id)
+view_record_success(view_t *view, uint16_t id)
 {
     LOCK_SCOPE(&view->lock);
-    view->states[id].failures = 0;
-    view->states[id].broken_until = 0;
+    view->states[id].consecutive_failures = 0;
+    view->states[id].circuit_open_until_ms = 0;
 }
 
 /* Note what the platform's host list says. */
 void
-view_host_leaving(view_t *view, uint16_t id, bool leaving)
+view_set_host_leaving(view_t *view, uint16_t id, bool leaving)
 {
     LOCK_SCOPE(&view->lock);
     view->states[id].host_leaving = leaving;
@@ -208,19 +211,19 @@
 
 /* Note up to which cache event a server's stream has been read. */
 void
-view_events_at(view_t *view, uint16_t id, const char *incarnation,
-               uint64_t after)
+view_set_last_event(view_t *view, uint16_t id, const char *incarnation,
+                    uint64_t after)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
-    state->events_after = after;
+    state->last_event = after;
     str_copy(state->events_incarnation, sizeof(state->events_incarnation),
              incarnation);
 }
 
 /* Tokens a second that a server prefills, by its report and our timing. */
 double
-view_rate(const backend_state_t *state)
+view_prefill_rate(const backend_state_t *state)
 {
     double rate =
         state->load.prefill_rate > 0 ? state->load.prefill_rate : RATE_UNKNOWN;
@@ -229,17 +232,17 @@
 
 /* Expected wait before a request that is sent now is begun, in ms. */
 double
-view_wait_ms(const backend_state_t *state)
+view_expected_wait_ms(const backend_state_t *state)
 {
-    double tokens = state->load.waiting_tokens + state->sent_since;
+    double tokens = state->load.waiting_tokens + state->sent_since_report;
     int slots = state->load.slots > 0 ? state->load.slots : SLOTS_UNKNOWN;
     int running = state->load.running > state->own_running
                       ? state->load.running
                       : state->own_running;
-    if (tokens < state->own_waiting) {
-        tokens = state->own_waiting;
+    if (tokens < state->own_waiting_tokens) {
+        tokens = state->own_waiting_tokens;
     }
-    double wait = tokens * 1000.0 / view_rate(state);
+    double wait = tokens * 1000.0 / view_prefill_rate(state);
     if (running >= slots) {
         wait += 20.0 * (running - slots + 1);
     }
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -33,7 +33,8 @@
         return command_error(ask, 2, "%.40s is not declared", ask->words[2]);
     }
     backend_state_t state = {0};
-    (void)view_get(daemon->view, view_id(daemon->view, backend->name), &state);
+    (void)view_get(daemon->view, view_assign_id(daemon->view, backend->name),
+                   &state);
     json_t *running = calls_rows(daemon);
     for (size_t i = json_array_size(running); i > 0; i--) {
         const char *at = json_text(json_array_get(running, i - 1), "backend");
@@ -46,7 +47,7 @@
         open_word(config_backend_open(config, backend, time_wall_ms())),
         "host_leaving", state.host_leaving, "running_there",
         state.load.running, "running_from_here", state.own_running, "failures",
-        (int)state.failures, "rows", running);
+        (int)state.consecutive_failures, "rows", running);
     config_release(config);
     return 0;
 }
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -13,24 +13,25 @@
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
         backend_state_t state = {0};
-        (void)view_get(daemon->view, view_id(daemon->view, backend->name),
-                       &state);
+        (void)view_get(daemon->view,
+                       view_assign_id(daemon->view, backend->name), &state);
         const char *open =
             open_word(config_backend_open(config, backend, time_wall_ms()));
         const char *health =
             state.host_leaving                                  ? "leaving"
-            : now < state.broken_until                          ? "broken"
-            : state.failures > 0                                ? "failing"
+            : now < state.circuit_open_until_ms                 ? "broken"
+            : state.consecutive_failures > 0                    ? "failing"
             : backend->kind != BACKEND_ENGINE || state.reported ? "good"
                                                                 : "unheard";
         (void)json_array_append_new(
-            rows, json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:f,s:f,s:s}",
-                            "name", backend->name, "serves", backend->serves,
-                            "dc", backend->dc, "open", open, "health", health,
-                            "version", state.load.version, "running",
-                            state.load.running, "ours", state.own_running,
-                            "wait_ms", view_wait_ms(&state), "slowness",
-                            state.slowness, "addr", backend->addr));
+            rows,
+            json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:f,s:f,s:s}", "name",
+                      backend->name, "serves", backend->serves, "dc",
+                      backend->dc, "open", open, "health", health, "version",
+                      state.load.version, "running", state.load.running,
+                      "ours", state.own_running, "wait_ms",
+                      view_expected_wait_ms(&state), "slowness",
+                      state.slowness, "addr", backend->addr));
     }
     config_release(config);
     return rows;
@@ -104,8 +105,8 @@
             json_pack("{s:s,s:s,s:s,s:s,s:I,s:s}", "name", list[i].name, "dc",
                       list[i].dc, "health", health[list[i].health], "intent",
                       list[i].intent == MEMBER_LEAVING ? "leaving" : "live",
-                      "generation", (json_int_t)list[i].generation, "http",
-                      list[i].http));
+                      "generation", (json_int_t)list[i].config_generation,
+                      "http", list[i].http_addr));
     }
     return rows;
 }
@@ -117,7 +118,7 @@
 {
     cache_fact_t facts[CACHE_ROWS];
     json_t *rows = json_array();
-    size_t count = cache_map_hottest(daemon->cache, facts, CACHE_ROWS);
+    size_t count = cache_map_list_reused(daemon->cache, facts, CACHE_ROWS);
     for (size_t i = 0; i < count; i++) {
         char key[20];
         backend_state_t state = {0};
--- a/plugins/policy-cost.c
+++ b/plugins/policy-cost.c
@@ -24,7 +24,7 @@
 {
     size_t home = 0;
     for (size_t i = 1; i < count; i++) {
-        if (all[i].rank > all[home].rank) {
+        if (all[i].rendezvous_weight > all[home].rendezvous_weight) {
             home = i;
         }
     }
@@ -48,7 +48,7 @@
     double service = 1e9;
     size_t taken = count < CANDIDATES_SORTED ? count : CANDIDATES_SORTED;
     for (size_t i = 0; i < taken; i++) {
-        double recompute = place_recompute_ms(&all[i], prefix);
+        double recompute = place_prefill_ms(&all[i], prefix);
         waits[i] = all[i].wait_ms;
         service = recompute < service ? recompute : service;
     }
@@ -59,13 +59,13 @@
 }
 
 static double
-cost_of(const candidate_t *candidate, const place_ask_t *ask, bool is_home,
+cost_of(const candidate_t *candidate, const place_query_t *ask, bool is_home,
         double factor)
 {
     double weight = ask->objective == OBJECTIVE_HITS ? WASTE_WEIGHT_HITS
                                                      : WASTE_WEIGHT_TAIL;
-    double recompute = place_recompute_ms(candidate, ask->prefix);
-    if (is_home && candidate->cached == 0) {
+    double recompute = place_prefill_ms(candidate, ask->prefix);
+    if (is_home && candidate->cached_tokens == 0) {
         recompute *= HOME_TRUST;
     }
     return candidate->wait_ms + weight * factor * recompute +
@@ -73,7 +73,7 @@
 }
 
 static size_t
-choose(const candidate_t *all, size_t count, const place_ask_t *ask)
+choose(const candidate_t *all, size_t count, const place_query_t *ask)
 {
     size_t home = home_of(all, count);
     size_t best = home;
--- a/plugins/policy-first-level.c
+++ b/plugins/policy-first-level.c
@@ -2,13 +2,13 @@
 
 /* Baseline: the rendezvous home of the first level, whatever its load. */
 static size_t
-choose(const candidate_t *all, size_t count, const place_ask_t *ask)
+choose(const candidate_t *all, size_t count, const place_query_t *ask)
 {
     uint64_t key = ask->prefix->count > 0 ? ask->prefix->levels[0].key : 0;
     size_t best = 0;
     uint64_t best_weight = 0;
     for (size_t i = 0; i < count; i++) {
-        uint64_t weight = place_weight(key, all[i].backend->name);
+        uint64_t weight = place_rendezvous_weight(key, all[i].backend->name);
         if (i == 0 || weight > best_weight) {
             best = i;
             best_weight = weight;
--- a/plugins/policy-least-loaded.c
+++ b/plugins/policy-least-loaded.c
@@ -3,9 +3,9 @@
 /* Baseline: the shortest expected wait, whatever it holds; equal waits go by
  * the fewest running, then in turn. */
 static size_t
-choose(const candidate_t *all, size_t count, const place_ask_t *ask)
+choose(const candidate_t *all, size_t count, const place_query_t *ask)
 {
-    size_t best = ask->turn % count;
+    size_t best = ask->placement_count % count;
     for (size_t i = 0; i < count; i++) {
         if (all[i].wait_ms < all[best].wait_ms ||
             (all[i].wait_ms <= all[best].wait_ms &&
--- a/plugins/policy-round-robin.c
+++ b/plugins/policy-round-robin.c
@@ -2,10 +2,10 @@
 
 /* Baseline: each candidate in turn, whatever it holds. */
 static size_t
-choose(const candidate_t *all, size_t count, const place_ask_t *ask)
+choose(const candidate_t *all, size_t count, const place_query_t *ask)
 {
     (void)all;
-    return ask->turn % count;
+    return ask->placement_count % count;
 }
 
 static policy_t policy = {.name = "round-robin",
--- a/relay/cache-events.c
+++ b/relay/cache-events.c
@@ -18,7 +18,7 @@
         .key = key, .prompt_tokens = event->tokens, .tokens = event->tokens};
     bool there = event->grew && event->tokens > 0;
     relay->meter.cache_events++;
-    if (!cache_map_knows(relay->cache, key)) {
+    if (!cache_map_has_key(relay->cache, key)) {
         if (there) {
             cached_parts_use(unasked, &part);
         }
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -96,7 +96,7 @@
     if (listing) {
         cached_parts_forget(follow->unasked);
     }
-    if (!result->whole || result->status != 200) {
+    if (!result->complete || result->status != 200) {
         return false;
     }
     int status =
@@ -143,12 +143,12 @@
 follow_call(follow_t *follow)
 {
     CLEAN_BUF buf_t head = {0};
-    fetch_ask_t ask = {.addr = follow->addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = LIST_MS,
-                       .on_done = on_done,
-                       .arg = follow};
+    fetch_options_t ask = {.addr = follow->addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_MS,
+                           .total_ms = LIST_MS,
+                           .on_done = on_done,
+                           .arg = follow};
     if (follow->listed) {
         platform_cache_events_call(&head, follow->addr, follow->place.next,
                                    EVENTS_WAIT_MS);
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -165,8 +165,8 @@
     uint16_t numbers[SOURCES_MAX];
     uint16_t best = 0;
     bool found = false;
-    size_t count =
-        cache_map_holders(relay->cache, level->key, 0, numbers, SOURCES_MAX);
+    size_t count = cache_map_list_holders(relay->cache, level->key, 0, numbers,
+                                          SOURCES_MAX);
     for (size_t i = 0; i < count; i++) {
         cache_source_t source = {.tokens = level->tokens};
         if (holds(relay, numbers[i], prefix, from, last) &&
@@ -202,8 +202,8 @@
         coming.levels[i] = prefix->levels[i];
         coming.levels[i].key = pending_key(prefix->levels[i].key);
     }
-    return cache_map_cached_since(relay->cache, &coming, server->number,
-                                  now - PENDING_MS);
+    return cache_map_cached_tokens_since(relay->cache, &coming, server->number,
+                                         now - PENDING_MS);
 }
 
 /* Whether a server is believed to hold all that a prompt shares. */
@@ -292,8 +292,8 @@
     for (unsigned i = shared_levels(prefix); i > 0 && held != NULL; i--) {
         const cached_part_t part = part_of(prefix, i - 1);
         cached_parts_use(held, &part);
-        if (cache_map_note_at(relay->cache, number, part.key,
-                              part.prompt_tokens, now)) {
+        if (cache_map_add_holder_at(relay->cache, number, part.key,
+                                    part.prompt_tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
                                true);
         }
@@ -324,8 +324,8 @@
         return;
     }
     cached_parts_use(held, part);
-    (void)cache_map_note_at(relay->cache, (uint16_t)number, part->key,
-                            part->prompt_tokens, time_mono_ms());
+    (void)cache_map_add_holder_at(relay->cache, (uint16_t)number, part->key,
+                                  part->prompt_tokens, time_mono_ms());
     relay->meter.cache_appeared++;
     relay->notify_part(relay->peers, holder, part, true);
 }
@@ -341,7 +341,7 @@
         return false;
     }
     cached_parts_drop(held, key);
-    (void)cache_map_drop(relay->cache, (uint16_t)number, key);
+    (void)cache_map_remove_holder(relay->cache, (uint16_t)number, key);
     return true;
 }
 
@@ -357,8 +357,8 @@
     uint16_t number =
         server != NULL ? server->number : (uint16_t)(KV_STORE_NUMBER + store);
     int64_t now = time_mono_ms();
-    (void)cache_map_note_at(relay->cache, number, part->key,
-                            part->prompt_tokens, now);
+    (void)cache_map_add_holder_at(relay->cache, number, part->key,
+                                  part->prompt_tokens, now);
     if (part->tokens == 0) {
         cache_follows_asked(relay->cache_follows, pending_key(part->key));
         return; /* it is only being read */
@@ -374,7 +374,7 @@
 void
 cache_forget(relay_t *relay, const server_t *server)
 {
-    cache_map_forget(relay->cache, server->number);
+    cache_map_clear_backend(relay->cache, server->number);
     cached_parts_forget(server->held);
 }
 
@@ -413,8 +413,8 @@
         const cached_part_t part = {.key = pending_key(level->key),
                                     .prompt_tokens = level->tokens};
         cache_follows_asked(relay->cache_follows, level->key);
-        if (cache_map_note_at(relay->cache, number, part.key, level->tokens,
-                              now)) {
+        if (cache_map_add_holder_at(relay->cache, number, part.key,
+                                    level->tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
                                true);
         }
--- a/relay/cached-parts.c
+++ b/relay/cached-parts.c
@@ -117,7 +117,7 @@
 {
     cached_entry_t *entry = entry_find(held, part->key);
     if (entry != NULL) {
-        lru_use(&held->lru, &entry->lru);
+        lru_touch(&held->lru, &entry->lru);
         return;
     }
     entry = mem_zalloc(sizeof(*entry));
--- a/relay/kv-stores.c
+++ b/relay/kv-stores.c
@@ -72,8 +72,9 @@
     uint64_t best_weight = 0;
     for (int i = 0; i < KV_STORES_MAX; i++) {
         const kv_store_t *store = &stores->all[i];
-        uint64_t weight =
-            store->held != NULL ? place_weight(key, store->name) : 0;
+        uint64_t weight = store->held != NULL
+                              ? place_rendezvous_weight(key, store->name)
+                              : 0;
         if (store->held != NULL && (best < 0 || weight > best_weight)) {
             best = i;
             best_weight = weight;
--- a/relay/peer-discovery.c
+++ b/relay/peer-discovery.c
@@ -19,7 +19,7 @@
     }
     for (size_t i = 0; i < page.count; i++) {
         if (platform_peer_read(&page.objects[i], addr, sizeof(addr)) == 0) {
-            members_seed(look->members, addr);
+            members_add_seed(look->members, addr);
             look->on_listed(look->arg, addr);
         }
     }
@@ -36,7 +36,7 @@
     int64_t now = time_mono_ms();
     look->fetch = NULL;
     look->next_ms = now + LOOK_FAILED_MS;
-    if (!result->whole) {
+    if (!result->complete) {
         return;
     }
     switch (look->step) {
@@ -84,12 +84,12 @@
             platform_list_call(&head, settings->store, KIND_PEERS, "");
             break;
     }
-    fetch_ask_t ask = {.addr = settings->store,
-                       .call = &head,
-                       .connect_ms = STORE_CONNECT_MS,
-                       .total_ms = STORE_CALL_MS,
-                       .on_done = on_done,
-                       .arg = look};
+    fetch_options_t ask = {.addr = settings->store,
+                           .request = &head,
+                           .connect_ms = STORE_CONNECT_MS,
+                           .total_ms = STORE_CALL_MS,
+                           .on_done = on_done,
+                           .arg = look};
     look->fetch = fetch_start(look->exchanges, &ask);
 }
 
@@ -101,7 +101,7 @@
         return;
     }
     if (look->step == LOOK_DONE) {
-        if (members_live(look->members) > 1) {
+        if (members_live_count(look->members) > 1) {
             look->next_ms = now + LOOK_ALONE_MS;
             return;
         }
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -35,11 +35,11 @@
                                  .received_ms = time_mono_ms(),
                                  .unread = fact->load.waiting_tokens,
                                  .running = fact->load.running,
-                                 .filled = fact->load.filled};
+                                 .filled = fact->load.unshared_tokens};
     take_weights(relay, server, &fact->load);
     server_peer_load(server, &report);
-    if (fact->load.at_server >= 0) {
-        server_load(server, fact->load.at_server, 0, time_mono_ms());
+    if (fact->load.total_running >= 0) {
+        server_load(server, fact->load.total_running, 0, time_mono_ms());
     }
 }
 
--- a/relay/peers-duty.c
+++ b/relay/peers-duty.c
@@ -8,14 +8,14 @@
 size_t
 peers_live(const peers_t *peers)
 {
-    return members_live(peers->members);
+    return members_live_count(peers->members);
 }
 
-/* Whether a duty falls to this daemon: see members_duty. */
+/* Whether a duty falls to this daemon: see members_has_duty. */
 bool
 peers_duty(const peers_t *peers, const char *duty)
 {
-    return members_duty(peers->members, duty);
+    return members_has_duty(peers->members, duty);
 }
 
 /* How many other live daemons come before this one for a duty. */
@@ -36,7 +36,7 @@
         const member_t *member = &live[(peers->turn + i) % count];
         if (member->health == MEMBER_ALIVE &&
             strcmp(member->name, peers->relay->settings.name) != 0) {
-            str_copy(addr, CS_ADDR_MAX, member->http);
+            str_copy(addr, CS_ADDR_MAX, member->http_addr);
             peers->turn += i + 1;
             return true;
         }
@@ -49,8 +49,8 @@
 {
     size_t want = watch_duty_count(peers_live(peers));
     return want == 0 ? 0
-                     : members_duty_owners(peers->members, "store-watch",
-                                           owners, want);
+                     : members_list_duty_owners(peers->members, "store-watch",
+                                                owners, want);
 }
 
 /* Whether this daemon follows another one's watches of the store, and which:
@@ -67,7 +67,7 @@
     if (owner == NULL) {
         return false;
     }
-    str_copy(addr, CS_ADDR_MAX, owner->http);
+    str_copy(addr, CS_ADDR_MAX, owner->http_addr);
     return true;
 }
 
@@ -80,7 +80,7 @@
     member_t owners[WATCHERS_MAX];
     size_t count = watchers(peers, owners);
     for (size_t i = 0; i < count; i++) {
-        if (!answered || strcmp(owners[i].http, addr) == 0) {
+        if (!answered || strcmp(owners[i].http_addr, addr) == 0) {
             watch_duty_avoid(&peers->avoided, owners[i].name, time_mono_ms());
         }
     }
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -21,7 +21,7 @@
         struct sockaddr_in to;
         if (live[i].health != MEMBER_DEAD &&
             strcmp(live[i].name, peers->relay->settings.name) != 0 &&
-            peers_addr_of(live[i].peer, &to) == 0) {
+            peers_addr_of(live[i].peer_addr, &to) == 0) {
             peers_send_bytes(peers, &to, data, len);
         }
     }
@@ -67,8 +67,8 @@
     str_copy(fact->backend, sizeof(fact->backend), server->info.id);
     fact->load.running = server->own_running;
     fact->load.waiting_tokens = (int)server->own_unread;
-    fact->load.filled = server->filled;
-    fact->load.at_server = -1;
+    fact->load.unshared_tokens = server->filled;
+    fact->load.total_running = -1;
     return fact;
 }
 
@@ -77,7 +77,7 @@
 void
 peers_notify_crowded(peers_t *peers, const server_t *server)
 {
-    load_add(peers, server)->load.at_server =
+    load_add(peers, server)->load.total_running =
         server->load_running + server->load_waiting;
 }
 
@@ -104,7 +104,7 @@
     size_t count = members_list(peers->members, members, QUOTA_HOSTS_MAX);
     for (size_t i = 0; i < count; i++) {
         if (members[i].health != MEMBER_DEAD) {
-            peers_note_spender(peers, members[i].peer);
+            peers_note_spender(peers, members[i].peer_addr);
         }
     }
 }
@@ -142,7 +142,7 @@
     for (size_t i = 0; i < count && asked < ASK_PEERS; i++) {
         if (live[i].health == MEMBER_ALIVE &&
             strcmp(live[i].name, peers->relay->settings.name) != 0) {
-            peers_send(peers, live[i].peer, &peers->taken);
+            peers_send(peers, live[i].peer_addr, &peers->taken);
             asked++;
         }
     }
--- a/relay/peers-table.h
+++ b/relay/peers-table.h
@@ -22,7 +22,7 @@
     struct event *loads;
     size_t load_steps; /* since loads were last announced */
     members_t *members;
-    member_out_t out;
+    member_outbox_t out;
     peer_datagram_t pending; /* facts that leave with the next tick */
     peer_datagram_t taken;
     unsigned char secret[SECRET_BYTES]; /* none: the network is private */
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -53,7 +53,7 @@
     if (now < peers->next_beat_ms) {
         return;
     }
-    peers->next_beat_ms = now + members_interval_ms();
+    peers->next_beat_ms = now + members_tick_interval_ms();
     share_retries(peers, now);
     peers_note_members(peers);
     members_tick(peers->members, now,
@@ -92,7 +92,7 @@
         (void)snprintf(addr, sizeof(addr), "%.*s%s",
                        (int)(colon - settings->seeds[i]), settings->seeds[i],
                        port);
-        members_seed(peers->members, addr);
+        members_add_seed(peers->members, addr);
     }
 }
 
@@ -109,9 +109,9 @@
     member_t self = {.incarnation = (uint64_t)time_wall_ms()};
     str_copy(self.name, sizeof(self.name), relay->settings.name);
     str_copy(self.dc, sizeof(self.dc), relay->settings.dc);
-    str_copy(self.peer, sizeof(self.peer), relay->settings.peer);
+    str_copy(self.peer_addr, sizeof(self.peer_addr), relay->settings.peer);
     /* Where other daemons can ask: see object_cache_answer. */
-    str_copy(self.http, sizeof(self.http), relay->settings.metrics);
+    str_copy(self.http_addr, sizeof(self.http_addr), relay->settings.metrics);
     peers_t *peers = mem_zalloc(sizeof(*peers));
     peers->relay = relay;
     peers->fd = fd;
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -65,7 +65,7 @@
     server_t *server = servers_find(relay->servers, probe->id);
     if (server != NULL) {
         server->probing = false;
-        if (result->whole) {
+        if (result->complete) {
             if (server->silent) {
                 log_record(LOG_INFO, "servers", "back", "server=%s",
                            server->info.id);
@@ -114,12 +114,12 @@
     probe->engine = server->info.engine;
     str_copy(probe->id, sizeof(probe->id), server->info.id);
     call_of(relay, server, &head);
-    fetch_ask_t ask = {.addr = server->info.addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = probe->engine ? REPORT_MS : HEALTH_MS,
-                       .on_done = on_done,
-                       .arg = probe};
+    fetch_options_t ask = {.addr = server->info.addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_MS,
+                           .total_ms = probe->engine ? REPORT_MS : HEALTH_MS,
+                           .on_done = on_done,
+                           .arg = probe};
     (void)fetch_start(relay->exchanges, &ask);
 }
 
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -135,27 +135,28 @@
     relay_t *relay = request->relay;
     memset(out, 0, sizeof(*out));
     out->id = server->number;
-    out->rate = SERVER_READ_TOKENS_PER_MS * 1000 / server->slowness;
+    out->prefill_rate = SERVER_READ_TOKENS_PER_MS * 1000 / server->slowness;
     out->running = server->own_running;
     out->same_dc = strcmp(server->info.dc, relay->settings.dc) == 0;
     double wait = request->engine ? engine_wait_ms(server, now)
                                   : plain_wait_ms(server, now);
     wait += now < server->full_ms ? FULL_MS : 0;
     if (!request->engine) {
-        out->rank = place_weight(0, server->info.id);
+        out->rendezvous_weight = place_rendezvous_weight(0, server->info.id);
         out->wait_ms = wait + preference_ms(request, server);
         return wait;
     }
     cache_view_t view;
     cache_look(relay, levels_for(request, server->info.weights, levels),
                server, &view);
-    out->cached = view.found ? view.source.tokens : view.here;
+    out->cached_tokens = view.found ? view.source.tokens : view.here;
     wait += cache_fetch_ms(&view);
     /* The request's own part is read wherever it goes; what a slower server
      * takes longer for it counts as waiting. */
     wait += (request->prompt.prompt_tokens - view.shared) *
             (server->slowness - 1) / SERVER_READ_TOKENS_PER_MS;
-    out->rank = place_weight(request->home, server->info.id);
+    out->rendezvous_weight =
+        place_rendezvous_weight(request->home, server->info.id);
     out->wait_ms = wait + preference_ms(request, server);
     return wait;
 }
@@ -190,7 +191,8 @@
         return count;
     }
     for (size_t i = 0; i < count; i++) {
-        uint64_t rank = place_weight(request->home, servers[i]->info.id);
+        uint64_t rank =
+            place_rendezvous_weight(request->home, servers[i]->info.id);
         home = rank > most ? i : home;
         most = rank > most ? rank : most;
     }
@@ -224,23 +226,23 @@
     }
     /* Only what is shared can be held here or there. */
     prefix_t prefix = {.tokens = prompt_shared(&request->prompt)};
-    place_ask_t ask = {.prefix = &prefix,
-                       .objective = relay->settings.objective != 0
-                                        ? OBJECTIVE_HITS
-                                        : OBJECTIVE_TAIL,
-                       .turn = relay->turn++};
+    place_query_t ask = {.prefix = &prefix,
+                         .objective = relay->settings.objective != 0
+                                          ? OBJECTIVE_HITS
+                                          : OBJECTIVE_TAIL,
+                         .placement_count = relay->turn++};
     size_t best = policy_find("cost")->choose(all, count, &ask);
     request->wait_ms = waits[best];
-    uint32_t held = all[best].cached;
+    uint32_t held = all[best].cached_tokens;
     uint32_t tokens = request->prompt.prompt_tokens;
     request->read_ms =
-        (tokens > held ? tokens - held : 0) * 1000.0 / all[best].rate;
+        (tokens > held ? tokens - held : 0) * 1000.0 / all[best].prefill_rate;
     log_record(
         LOG_INFO, "place", "chosen",
         "id=%s server=%s among=%zu usable=%zu wait_ms=%.0f held=%u of=%u "
         "weights=%lld config=%lld",
         request->id, servers[best]->info.id, count, usable, waits[best],
-        all[best].cached, prefix.tokens,
+        all[best].cached_tokens, prefix.tokens,
         (long long)servers[best]->info.weights,
         (long long)request->config->version);
     return servers[best];
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -127,7 +127,7 @@
     rollout_t *rollout = arg;
     bool wrote = rollout->lease_step != LEASE_READ;
     rollout->lease_call = NULL;
-    if (!result->whole) {
+    if (!result->complete) {
         lease_failed(&rollout->lease, time_boot_ms());
         if (wrote && result->sent) {
             lease_unanswered(&rollout->lease);
@@ -173,12 +173,12 @@
             platform_get_call(&head, addr, KIND_LEASES, LEASE_NAME);
             break;
     }
-    fetch_ask_t ask = {.addr = addr,
-                       .call = &head,
-                       .connect_ms = STORE_CONNECT_MS,
-                       .total_ms = STORE_CALL_MS,
-                       .on_done = on_lease_done,
-                       .arg = rollout};
+    fetch_options_t ask = {.addr = addr,
+                           .request = &head,
+                           .connect_ms = STORE_CONNECT_MS,
+                           .total_ms = STORE_CALL_MS,
+                           .on_done = on_lease_done,
+                           .arg = rollout};
     rollout->lease_step = step;
     rollout->lease_call = fetch_start(relay->exchanges, &ask);
 }
@@ -232,12 +232,12 @@
 static void
 job_call(job_t *job, const server_t *server, const buf_t *head)
 {
-    fetch_ask_t ask = {.addr = server->info.addr,
-                       .call = head,
-                       .connect_ms = ORDER_CONNECT_MS,
-                       .total_ms = ORDER_CALL_MS,
-                       .on_done = on_job_done,
-                       .arg = job};
+    fetch_options_t ask = {.addr = server->info.addr,
+                           .request = head,
+                           .connect_ms = ORDER_CONNECT_MS,
+                           .total_ms = ORDER_CALL_MS,
+                           .on_done = on_job_done,
+                           .arg = job};
     job->fetch = fetch_start(job->rollout->relay->exchanges, &ask);
 }
 
@@ -359,7 +359,7 @@
         job_free(job, 0);
         return;
     }
-    if (!result->whole) {
+    if (!result->complete) {
         log_record(LOG_WARN, "orders", "no-answer", "server=%s state=%d",
                    job->server, (int)job->state);
         job_free(job, AGAIN_MS);
--- a/relay/watch-duty.c
+++ b/relay/watch-duty.c
@@ -80,7 +80,8 @@
         }
         if (best == NULL || (near && !best_near) ||
             (near == best_near &&
-             place_weight(key, owner->name) > place_weight(key, best->name))) {
+             place_rendezvous_weight(key, owner->name) >
+                 place_rendezvous_weight(key, best->name))) {
             best = owner;
             best_near = near;
         }
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -131,12 +131,12 @@
 {
     CLEAN_BUF buf_t head = {0};
     platform_list_call(&head, addr, watch->kind, "");
-    fetch_ask_t ask = {.addr = addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = OTHER_MS,
-                       .on_done = on_done,
-                       .arg = watch};
+    fetch_options_t ask = {.addr = addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_MS,
+                           .total_ms = OTHER_MS,
+                           .on_done = on_done,
+                           .arg = watch};
     watch->asks_other = true;
     watch->status = 0;
     watch->fetch = fetch_start(watch->exchanges, &ask);
@@ -328,15 +328,15 @@
     watch_t *watch = arg;
     watch->fetch = NULL;
     watch->status = result->status;
-    if (watch->asks_other && result->whole && watch->status == 200) {
+    if (watch->asks_other && result->complete && watch->status == 200) {
         take_other(watch, result);
         return;
     }
-    if (watch->follows && (!result->whole || watch->status != 200)) {
+    if (watch->follows && (!result->complete || watch->status != 200)) {
         unfollow(watch);
         return;
     }
-    if (!result->whole) {
+    if (!result->complete) {
         call_failed(watch, "no-answer");
         return;
     }
@@ -366,12 +366,12 @@
         return false;
     }
     platform_watch_call(&head, addr, watch->kind, watch->at, FOLLOW_WAIT_MS);
-    fetch_ask_t ask = {.addr = addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .total_ms = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS,
-                       .on_done = on_done,
-                       .arg = watch};
+    fetch_options_t ask = {.addr = addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_MS,
+                           .total_ms = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS,
+                           .on_done = on_done,
+                           .arg = watch};
     settle(watch, false, false);
     watch->fetch = fetch_start(watch->exchanges, &ask);
     return true;
@@ -381,11 +381,11 @@
 call_store(watch_t *watch)
 {
     CLEAN_BUF buf_t head = {0};
-    fetch_ask_t ask = {.addr = watch->addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_MS,
-                       .on_done = on_done,
-                       .arg = watch};
+    fetch_options_t ask = {.addr = watch->addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_MS,
+                           .on_done = on_done,
+                           .arg = watch};
     watch->calls++;
     if (watch->state == WATCH_LISTING) {
         platform_list_call(&head, watch->addr, watch->kind, watch->after);
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -247,12 +247,13 @@
             bool believed = believes(&servers[i], family, now, belief);
             all[i].id = (uint16_t)i;
             all[i].wait_ms = -WAIT_MEAN_MS * log(uniform(&rng));
-            all[i].rate = READ_TOKENS_PER_S;
-            all[i].cached = believed ? shared.tokens : 0;
-            all[i].rank = place_weight(family, i % 2 == 0 ? "a" : "b") + i;
+            all[i].prefill_rate = READ_TOKENS_PER_S;
+            all[i].cached_tokens = believed ? shared.tokens : 0;
+            all[i].rendezvous_weight =
+                place_rendezvous_weight(family, i % 2 == 0 ? "a" : "b") + i;
             all[i].same_dc = true;
         }
-        place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
+        place_query_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
         size_t best = policy_find("cost")->choose(all, SERVERS, &ask);
         play_server_t *server = &servers[best];
         read += (double)(FAMILY_BLOCKS - blocks_kept(server, family)) *
--- a/tests/test-lru.c
+++ b/tests/test-lru.c
@@ -35,11 +35,11 @@
         lru_add(&lru, &items[i].lru);
     }
     expect(&lru, (const int[]){3, 2, 1}, 3);
-    lru_use(&lru, &items[0].lru);
+    lru_touch(&lru, &items[0].lru);
     expect(&lru, (const int[]){1, 3, 2}, 3);
-    lru_use(&lru, &items[2].lru);
+    lru_touch(&lru, &items[2].lru);
     expect(&lru, (const int[]){3, 1, 2}, 3);
-    lru_use(&lru, &items[2].lru);
+    lru_touch(&lru, &items[2].lru);
     expect(&lru, (const int[]){3, 1, 2}, 3);
     lru_remove(&lru, &items[0].lru);
     expect(&lru, (const int[]){3, 2}, 2);
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -31,14 +31,15 @@
         member_t self = {.incarnation = 1, .health = MEMBER_ALIVE};
         (void)snprintf(self.name, sizeof(self.name), "router-%zu", i);
         (void)snprintf(self.dc, sizeof(self.dc), "dc-%zu", i % 9);
-        (void)snprintf(self.peer, sizeof(self.peer), "127.0.0.1:%zu", i + 1);
-        (void)snprintf(self.http, sizeof(self.http), "127.0.0.1:%zu",
+        (void)snprintf(self.peer_addr, sizeof(self.peer_addr), "127.0.0.1:%zu",
+                       i + 1);
+        (void)snprintf(self.http_addr, sizeof(self.http_addr), "127.0.0.1:%zu",
                        i + 10001);
         fleet->tables[i] = members_new(&self, i + 1);
         for (size_t j = 0; j < 4; j++) {
             char seed[CS_ADDR_MAX];
             (void)snprintf(seed, sizeof(seed), "127.0.0.1:%zu", j + 1);
-            members_seed(fleet->tables[i], seed);
+            members_add_seed(fleet->tables[i], seed);
         }
     }
 }
@@ -53,7 +54,7 @@
 
 /* Carry messages, and the answers that they bring about, over the network. */
 static void
-carry(fleet_t *fleet, const member_out_t *out, int depth)
+carry(fleet_t *fleet, const member_outbox_t *out, int depth)
 {
     static peer_datagram_t datagram;
     unsigned char data[PEER_DATAGRAM_MAX];
@@ -69,7 +70,7 @@
             rng_below(&fleet->rng, 100) < LOSS_PERCENT || depth > 6) {
             continue;
         }
-        member_out_t *answer = mem_zalloc(sizeof(*answer));
+        member_outbox_t *answer = mem_zalloc(sizeof(*answer));
         members_receive(fleet->tables[to], &out->messages[i], fleet->now,
                         answer);
         carry(fleet, answer, depth + 1);
@@ -80,7 +81,7 @@
 static void
 beat(fleet_t *fleet, size_t i, int64_t generation)
 {
-    member_out_t *out = mem_zalloc(sizeof(*out));
+    member_outbox_t *out = mem_zalloc(sizeof(*out));
     members_tick(fleet->tables[i], fleet->now, generation, MEMBER_LIVE, out);
     carry(fleet, out, 0);
     free(out);
@@ -89,7 +90,7 @@
 static void
 round_of(fleet_t *fleet)
 {
-    fleet->now += members_interval_ms();
+    fleet->now += members_tick_interval_ms();
     for (size_t i = 0; i < fleet->count; i++) {
         if (!fleet->dead[i]) {
             beat(fleet, i, 1);
@@ -168,18 +169,19 @@
             suspicions += count_health(fleet.tables[j], MEMBER_SUSPECT);
         }
     }
-    double seconds = rounds * members_interval_ms() / 1000.0;
+    double seconds = rounds * members_tick_interval_ms() / 1000.0;
     double bytes = (double)fleet.bytes / (double)count / seconds;
     int noticed = rounds_to_notice(&fleet, count / 2);
     (void)printf(
         "members: %zu daemons: known in %d rounds, dead noticed by "
         "all in %.1f s, %zu false deaths, %zu suspicions, %.0f B/s "
         "and %.1f datagrams/s sent by each\n",
-        count, known, noticed * members_interval_ms() / 1000.0, false_deaths,
-        suspicions, bytes, (double)fleet.datagrams / (double)count / seconds);
+        count, known, noticed * members_tick_interval_ms() / 1000.0,
+        false_deaths, suspicions, bytes,
+        (double)fleet.datagrams / (double)count / seconds);
     ck_assert_uint_eq(false_deaths, 0);
     ck_assert_int_gt(noticed, 0);
-    ck_assert(noticed * members_interval_ms() < 20000);
+    ck_assert(noticed * members_tick_interval_ms() < 20000);
     ck_assert(bytes < 8192);
     fleet_stop(&fleet);
 }
@@ -221,14 +223,15 @@
         (void)snprintf(duty, sizeof(duty), "feed/engine-%d", d);
         int holders = 0;
         for (size_t i = 0; i < 4; i++) {
-            holders += members_duty(fleet.tables[i], duty);
+            holders += members_has_duty(fleet.tables[i], duty);
         }
         ck_assert_int_eq(holders, 1);
     }
     (void)rounds_to_notice(&fleet, 2);
     int holders = 0;
     for (size_t i = 0; i < 4; i++) {
-        holders += i != 2 && members_duty(fleet.tables[i], "feed/engine-1");
+        holders +=
+            i != 2 && members_has_duty(fleet.tables[i], "feed/engine-1");
     }
     ck_assert_int_eq(holders, 1);
     fleet_stop(&fleet);
@@ -247,7 +250,7 @@
         for (size_t j = 0; j < count; j++) {
             char seed[CS_ADDR_MAX];
             (void)snprintf(seed, sizeof(seed), "127.0.0.1:%zu", j + 1);
-            members_seed(fleet.tables[i], seed);
+            members_add_seed(fleet.tables[i], seed);
         }
     }
     for (int i = 0; i < rounds; i++) {
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -32,7 +32,7 @@
 {
     peer_fact_t fact = {.is_load = true};
     str_copy(fact.backend, sizeof(fact.backend), id);
-    fact.load.at_server = -1;
+    fact.load.total_running = -1;
     return fact;
 }
 
@@ -50,7 +50,7 @@
     fact.part = 0;
     peers_apply(relay, 1, &fact);
     ck_assert(!cached_parts_has(server->held, 6));
-    ck_assert(cache_map_knows(relay->cache, 6));
+    ck_assert(cache_map_has_key(relay->cache, 6));
     relay_without(relay);
 }
 END_TEST
@@ -68,7 +68,7 @@
     peer_fact_t load = load_of("b");
     peers_apply(relay, 1, &load);
     ck_assert(!cached_parts_has(server->held, 5));
-    ck_assert(!cache_map_knows(relay->cache, 5));
+    ck_assert(!cache_map_has_key(relay->cache, 5));
     relay_without(relay);
 }
 END_TEST
@@ -84,7 +84,7 @@
     cached_parts_use(server->held, &part);
     peer_fact_t load = load_of("a");
     load.load.running = 2;
-    load.load.at_server = 6;
+    load.load.total_running = 6;
     str_copy(load.load.version, sizeof(load.load.version), "1");
     str_copy(load.load.loading, sizeof(load.load.loading), "2");
     peers_apply(relay, 1, &load);
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -36,16 +36,17 @@
     unsigned char secret[32] = {1};
     char salt_a[CS_ID_LEN + 1];
     char salt_b[CS_ID_LEN + 1];
-    cache_salt(secret, "ws-a", "m", salt_a);
-    cache_salt(secret, "ws-b", "m", salt_b);
+    cache_salt_derive(secret, "ws-a", "m", salt_a);
+    cache_salt_derive(secret, "ws-b", "m", salt_b);
     prefix_of(&mine, long_rules, salt_a, "v2");
     prefix_of(&again, long_rules, salt_a, "v2");
     prefix_of(&theirs, long_rules, salt_b, "v2");
     prefix_of(&older, long_rules, salt_a, "v1");
     ck_assert_uint_eq(mine.count, 2);
-    ck_assert_uint_eq(prefix_shared(&mine, &again), mine.levels[1].tokens);
-    ck_assert_uint_eq(prefix_shared(&mine, &theirs), 0);
-    ck_assert_uint_eq(prefix_shared(&mine, &older), 0);
+    ck_assert_uint_eq(prefix_shared_tokens(&mine, &again),
+                      mine.levels[1].tokens);
+    ck_assert_uint_eq(prefix_shared_tokens(&mine, &theirs), 0);
+    ck_assert_uint_eq(prefix_shared_tokens(&mine, &older), 0);
 }
 END_TEST
 
@@ -56,20 +57,20 @@
     cache_map_t *map = cache_map_new(100);
     prefix_t prefix;
     prefix_of(&prefix, long_rules, "s", "v1");
-    ck_assert(
-        cache_map_note(map, 3, prefix.levels[0].key, prefix.levels[0].tokens));
-    ck_assert(!cache_map_note(map, 3, prefix.levels[0].key, 1));
-    ck_assert_uint_eq(cache_map_cached(map, &prefix, 3),
+    ck_assert(cache_map_add_holder(map, 3, prefix.levels[0].key,
+                                   prefix.levels[0].tokens));
+    ck_assert(!cache_map_add_holder(map, 3, prefix.levels[0].key, 1));
+    ck_assert_uint_eq(cache_map_cached_tokens(map, &prefix, 3),
                       prefix.levels[0].tokens);
-    ck_assert_uint_eq(cache_map_cached(map, &prefix, 4), 0);
-    cache_map_forget(map, 3);
-    ck_assert_uint_eq(cache_map_cached(map, &prefix, 3), 0);
-    ck_assert(
-        cache_map_note(map, 3, prefix.levels[1].key, prefix.levels[1].tokens));
-    ck_assert_uint_eq(cache_map_cached(map, &prefix, 3),
+    ck_assert_uint_eq(cache_map_cached_tokens(map, &prefix, 4), 0);
+    cache_map_clear_backend(map, 3);
+    ck_assert_uint_eq(cache_map_cached_tokens(map, &prefix, 3), 0);
+    ck_assert(cache_map_add_holder(map, 3, prefix.levels[1].key,
+                                   prefix.levels[1].tokens));
+    ck_assert_uint_eq(cache_map_cached_tokens(map, &prefix, 3),
                       prefix.levels[1].tokens);
-    ck_assert(cache_map_drop(map, 3, prefix.levels[1].key));
-    ck_assert(!cache_map_drop(map, 3, prefix.levels[1].key));
+    ck_assert(cache_map_remove_holder(map, 3, prefix.levels[1].key));
+    ck_assert(!cache_map_remove_holder(map, 3, prefix.levels[1].key));
     cache_map_free(map);
 }
 END_TEST
@@ -79,13 +80,13 @@
     cache_map_t *map = cache_map_new(64);
     cache_fact_t facts[256];
     for (uint64_t i = 0; i < 1000; i++) {
-        (void)cache_map_note(map, (uint16_t)(i % 12), i, 16);
-        (void)cache_map_note(map, (uint16_t)(i % 12), i, 16);
-        (void)cache_map_note(map, 1, 7, 16);
+        (void)cache_map_add_holder(map, (uint16_t)(i % 12), i, 16);
+        (void)cache_map_add_holder(map, (uint16_t)(i % 12), i, 16);
+        (void)cache_map_add_holder(map, 1, 7, 16);
     }
     ck_assert_uint_eq(cache_map_size(map), 64);
-    ck_assert(cache_map_knows(map, 7));
-    ck_assert_uint_ge(cache_map_hottest(map, facts, 256), 64);
+    ck_assert(cache_map_has_key(map, 7));
+    ck_assert_uint_ge(cache_map_list_reused(map, facts, 256), 64);
     cache_map_free(map);
 }
 END_TEST
@@ -104,22 +105,22 @@
 {
     view_t *view = view_new();
     backend_state_t state;
-    uint16_t id = view_id(view, "a");
+    uint16_t id = view_assign_id(view, "a");
     load_report_t load = report("x", 0);
-    (void)view_report(view, id, &load, 0);
-    view_sent(view, id, 5000);
+    (void)view_apply_report(view, id, &load, 0);
+    view_add_request(view, id, 5000);
     (void)view_get(view, id, &state);
-    ck_assert_double_ge(view_wait_ms(&state), 499);
+    ck_assert_double_ge(view_expected_wait_ms(&state), 499);
     /* The next report is from before our request: it still counts. */
-    (void)view_report(view, id, &load, 10);
+    (void)view_apply_report(view, id, &load, 10);
     (void)view_get(view, id, &state);
-    ck_assert_double_ge(view_wait_ms(&state), 499);
-    view_first_token(view, id, 5000, 500, 500);
-    view_ended(view, id, true, 5000);
+    ck_assert_double_ge(view_expected_wait_ms(&state), 499);
+    view_record_first_token(view, id, 5000, 500, 500);
+    view_remove_request(view, id, true, 5000);
     (void)view_get(view, id, &state);
-    ck_assert_double_lt(view_wait_ms(&state), 1);
+    ck_assert_double_lt(view_expected_wait_ms(&state), 1);
     load = report("y", 0);
-    ck_assert(view_report(view, id, &load, 20));
+    ck_assert(view_apply_report(view, id, &load, 20));
     view_free(view);
 }
 END_TEST
@@ -131,20 +132,20 @@
 {
     view_t *view = view_new();
     backend_state_t state;
-    uint16_t id = view_id(view, "a");
+    uint16_t id = view_assign_id(view, "a");
     load_report_t load = report("x", 0);
-    (void)view_report(view, id, &load, 0);
+    (void)view_apply_report(view, id, &load, 0);
     for (int i = 0; i < 3; i++) {
-        view_failed(view, id, 1000);
+        view_record_failure(view, id, 1000);
     }
     (void)view_get(view, id, &state);
-    ck_assert_int_gt(state.broken_until, 1000);
-    view_succeeded(view, id);
+    ck_assert_int_gt(state.circuit_open_until_ms, 1000);
+    view_record_success(view, id);
     for (int i = 0; i < 60; i++) {
-        view_first_token(view, id, 0, 20, 125);
+        view_record_first_token(view, id, 0, 20, 125);
     }
     (void)view_get(view, id, &state);
-    ck_assert_double_lt(view_rate(&state), 2500);
+    ck_assert_double_lt(view_prefill_rate(&state), 2500);
     view_free(view);
 }
 END_TEST
@@ -152,12 +153,13 @@
 static candidate_t
 candidate(const backend_t *backend, double wait_ms, uint32_t cached)
 {
-    return (candidate_t){.backend = backend,
-                         .wait_ms = wait_ms,
-                         .cached = cached,
-                         .rate = 10000,
-                         .same_dc = true,
-                         .rank = place_weight(1, backend->name)};
+    return (candidate_t){
+        .backend = backend,
+        .wait_ms = wait_ms,
+        .cached_tokens = cached,
+        .prefill_rate = 10000,
+        .same_dc = true,
+        .rendezvous_weight = place_rendezvous_weight(1, backend->name)};
 }
 
 static const char *
@@ -165,7 +167,7 @@
        objective_t objective)
 {
     prefix_t prefix = {.tokens = 1000, .count = 1};
-    place_ask_t ask = {.prefix = &prefix, .objective = objective};
+    place_query_t ask = {.prefix = &prefix, .objective = objective};
     return all[policy_find(policy)->choose(all, count, &ask)].backend->name;
 }
 
@@ -176,8 +178,8 @@
     candidate_t held = candidate(&a, 80, 1000);
     candidate_t idle = candidate(&b, 0, 0);
     candidate_t all[2] = {held, idle};
-    all[1].rank = 0;
-    all[0].rank = 1;
+    all[1].rendezvous_weight = 0;
+    all[0].rendezvous_weight = 1;
     ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_TAIL), "a");
     all[0].wait_ms = 150;
     ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_TAIL), "b");
@@ -211,21 +213,21 @@
                        .incarnation = "abc",
                        .stream = "s",
                        .version = "v1",
-                       .ask = 77};
+                       .prompt_hash = 77};
     resume_t back;
     uint32_t offset;
     err_t err;
-    char token[RESUME_TEXT_MAX];
-    char id[RESUME_TEXT_MAX + 16];
+    char token[RESUME_TOKEN_MAX];
+    char id[RESUME_TOKEN_MAX + 16];
     resume_seal(&resume, secret, token);
     (void)snprintf(id, sizeof(id), "%s.12", token);
     ck_assert_int_eq(resume_open(&back, secret, id, &offset, &err), 0);
     ck_assert_str_eq(back.backend, "engine-1");
     ck_assert_uint_eq(offset, 12);
-    ck_assert_uint_eq(back.ask, 77);
+    ck_assert_uint_eq(back.prompt_hash, 77);
     ck_assert_int_eq(resume_open(&back, other, id, &offset, &err), -1);
     for (size_t i = 0; i + 4 < strlen(id); i++) {
-        char bad[RESUME_TEXT_MAX + 16];
+        char bad[RESUME_TOKEN_MAX + 16];
         str_copy(bad, sizeof(bad), id);
         bad[i] = bad[i] == 'A' ? 'B' : 'A';
         ck_assert_int_eq(resume_open(&back, secret, bad, &offset, &err), -1);
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -87,7 +87,7 @@
     ck_assert(sched_push(sched, item_new("small", 1, 100), &evicted));
     ck_assert_ptr_eq(evicted, last);
     free(evicted);
-    ck_assert_uint_eq(sched_waiting(sched), 10);
+    ck_assert_uint_eq(sched_waiting_count(sched), 10);
     drain(sched);
 }
 END_TEST
@@ -127,8 +127,8 @@
     ck_assert(sched_push(sched, item_new("w", 1, 10), &evicted));
     late->deadline_ms = 5;
     ck_assert(sched_push(sched, late, &evicted));
-    ck_assert_ptr_null(sched_expired(sched, 4));
-    ck_assert_ptr_eq(sched_expired(sched, 5), late);
+    ck_assert_ptr_null(sched_take_expired(sched, 4));
+    ck_assert_ptr_eq(sched_take_expired(sched, 5), late);
     free(late);
     ck_assert(sched_retry_after_s(sched, 10) >= 1);
     drain(sched);
@@ -145,13 +145,13 @@
     int granted = 0;
     retry_budget_init(&budget);
     for (int i = 0; i < 60; i++) {
-        granted += retry_budget_spend(&budget);
+        granted += retry_budget_try_spend(&budget);
     }
     ck_assert_int_eq(granted, 50);
     granted = 0;
     for (int i = 0; i < 1000; i++) {
         retry_budget_earn(&budget);
-        granted += retry_budget_spend(&budget);
+        granted += retry_budget_try_spend(&budget);
     }
     ck_assert_int_ge(granted, 195);
     ck_assert_int_le(granted, 200);
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -139,11 +139,12 @@
             play_say(&all[i], now);
             candidates[i].wait_ms =
                 server_slot_wait_ms(all[i].server, (int64_t)now);
-            candidates[i].rate = 48000;
-            candidates[i].cached = i == 0 ? PLAY_SHARED_TOKENS : 0;
-            candidates[i].rank = place_weight(7, all[i].server->info.id);
+            candidates[i].prefill_rate = 48000;
+            candidates[i].cached_tokens = i == 0 ? PLAY_SHARED_TOKENS : 0;
+            candidates[i].rendezvous_weight =
+                place_rendezvous_weight(7, all[i].server->info.id);
         }
-        place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
+        place_query_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
         size_t best =
             policy_find("cost")->choose(candidates, PLAY_SERVERS, &ask);
         in_time += play_take(&all[best], now) <= PLAY_TARGET_MS ? 1 : 0;
--- a/tests/test-threads.c
+++ b/tests/test-threads.c
@@ -30,18 +30,18 @@
     backend_state_t state;
     load_report_t load = {.running = 1, .prefill_rate = 1000};
     prefix_t prefix = {.count = 1, .levels = {{key, 16}}, .tokens = 16};
-    (void)cache_map_note(mine->cache, id, key, 16);
-    (void)cache_map_cached(mine->cache, &prefix, id);
-    (void)cache_map_drop(mine->cache, id, key);
+    (void)cache_map_add_holder(mine->cache, id, key, 16);
+    (void)cache_map_cached_tokens(mine->cache, &prefix, id);
+    (void)cache_map_remove_holder(mine->cache, id, key);
     if (key == 7) {
-        cache_map_forget(mine->cache, id);
+        cache_map_clear_backend(mine->cache, id);
     }
-    view_sent(mine->view, id, 10);
-    (void)view_report(mine->view, id, &load, 1);
-    view_first_token(mine->view, id, 10, 5, 5);
-    view_ended(mine->view, id, true, 10);
+    view_add_request(mine->view, id, 10);
+    (void)view_apply_report(mine->view, id, &load, 1);
+    view_record_first_token(mine->view, id, 10, 5, 5);
+    view_remove_request(mine->view, id, true, 10);
     (void)view_get(mine->view, id, &state);
-    (void)members_duty(mine->members, "duty");
+    (void)members_has_duty(mine->members, "duty");
 }
 
 static void
@@ -98,7 +98,7 @@
     for (int i = 0; i < 8; i++) {
         char name[8];
         (void)snprintf(name, sizeof(name), "e%d", i);
-        (void)view_id(shared.view, name);
+        (void)view_assign_id(shared.view, name);
     }
     for (int i = 0; i < THREADS; i++) {
         each[i] = shared;
