--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -58,7 +58,7 @@
     (void)msgpack_pack_int(packer, fact->load.waiting_tokens);
     (void)msgpack_pack_int(packer, fact->load.prefill_rate);
     (void)msgpack_pack_uint64(packer, fact->load.unshared_tokens);
-    (void)msgpack_pack_int(packer, fact->load.total_running);
+    (void)msgpack_pack_int(packer, fact->load.total_requests);
 }
 
 static void
@@ -244,7 +244,7 @@
            take_int(&at[5], &load->slots) &&
            take_int(&at[6], &load->waiting_tokens) &&
            take_int(&at[7], &load->prefill_rate) &&
-           take_int(&at[9], &load->total_running);
+           take_int(&at[9], &load->total_requests);
 }
 
 static bool
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -59,8 +59,8 @@
     int prefill_rate;         /* tokens a second */
     uint32_t unshared_tokens; /* tokens of requests' own parts, of all time,
                                  wraps */
-    int total_running; /* requests of all, by the server's word; -1: not told
-                        */
+    int total_requests; /* requests of all, by the server's word; -1: not told
+                         */
 } load_report_t;
 
 typedef struct {
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -38,8 +38,8 @@
                                  .filled = fact->load.unshared_tokens};
     take_weights(relay, server, &fact->load);
     server_peer_load(server, &report);
-    if (fact->load.total_running >= 0) {
-        server_load(server, fact->load.total_running, 0, time_mono_ms());
+    if (fact->load.total_requests >= 0) {
+        server_load(server, fact->load.total_requests, 0, time_mono_ms());
     }
 }
 
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -68,7 +68,7 @@
     fact->load.running = server->own_running;
     fact->load.waiting_tokens = (int)server->own_unread;
     fact->load.unshared_tokens = server->filled;
-    fact->load.total_running = -1;
+    fact->load.total_requests = -1;
     return fact;
 }
 
@@ -77,7 +77,7 @@
 void
 peers_notify_crowded(peers_t *peers, const server_t *server)
 {
-    load_add(peers, server)->load.total_running =
+    load_add(peers, server)->load.total_requests =
         server->load_running + server->load_waiting;
 }
 
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -32,7 +32,7 @@
 {
     peer_fact_t fact = {.is_load = true};
     str_copy(fact.backend, sizeof(fact.backend), id);
-    fact.load.total_running = -1;
+    fact.load.total_requests = -1;
     return fact;
 }
 
@@ -84,7 +84,7 @@
     cached_parts_use(server->held, &part);
     peer_fact_t load = load_of("a");
     load.load.running = 2;
-    load.load.total_running = 6;
+    load.load.total_requests = 6;
     str_copy(load.load.version, sizeof(load.load.version), "1");
     str_copy(load.load.loading, sizeof(load.load.loading), "2");
     peers_apply(relay, 1, &load);
