--- a/kernel/place.c
+++ b/kernel/place.c
@@ -3,22 +3,22 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Placement: gathering the candidates for a request.  The choice among them
- * is a policy's, and policies are plug-ins. */
+/* Placement: lists the candidates for a request.  A policy, which is a
+ * plug-in, chooses one of them. */
 
-#define HOME_LEVEL 1
+#define AFFINITY_LEVEL 1
 
 static CK_SLIST_HEAD(policies,
                      policy) policies = CK_SLIST_HEAD_INITIALIZER(policies);
 
-/* Called by each policy's constructor before main. */
+/* Adds a policy.  Each policy's constructor calls this before main. */
 void
 policy_register(policy_t *policy)
 {
     CK_SLIST_INSERT_HEAD(&policies, policy, entry);
 }
 
-/* The policy of this name, or NULL. */
+/* Finds a policy by its name; NULL if there is none. */
 const policy_t *
 policy_find(const char *name)
 {
@@ -31,7 +31,7 @@
     return NULL;
 }
 
-/* Walk all policies; NULL begins. */
+/* Returns the policy after this one, or the first one for NULL. */
 const policy_t *
 policy_next(const policy_t *policy)
 {
@@ -39,7 +39,8 @@
                           : CK_SLIST_NEXT(policy, entry);
 }
 
-/* Rendezvous weight of a name for a key (Thaler and Ravishankar). */
+/* Computes the weight of a name for a key in rendezvous hashing (Thaler and
+ * Ravishankar). */
 uint64_t
 place_rendezvous_weight(uint64_t key, const char *name)
 {
@@ -47,23 +48,23 @@
 }
 
 static uint64_t
-home_key(const prefix_t *prefix)
+affinity_key(const prefix_t *prefix)
 {
     if (prefix->count == 0) {
         return 0;
     }
     unsigned level =
-        prefix->count > HOME_LEVEL ? HOME_LEVEL : prefix->count - 1;
+        prefix->count > AFFINITY_LEVEL ? AFFINITY_LEVEL : prefix->count - 1;
     return prefix->levels[level].key;
 }
 
 static bool
-is_avoided(const place_context_t *scene, const char *name)
+is_excluded(const place_context_t *context, const char *name)
 {
     for (size_t i = 0;
-         i < sizeof(scene->excluded) / sizeof(scene->excluded[0]); i++) {
-        if (scene->excluded[i] != NULL &&
-            strcmp(scene->excluded[i], name) == 0) {
+         i < sizeof(context->excluded) / sizeof(context->excluded[0]); i++) {
+        if (context->excluded[i] != NULL &&
+            strcmp(context->excluded[i], name) == 0) {
             return true;
         }
     }
@@ -71,68 +72,71 @@
 }
 
 static bool
-is_usable(const place_context_t *scene, const backend_t *backend,
+is_usable(const place_context_t *context, const backend_t *backend,
           const backend_state_t *state, const char *version)
 {
-    if (config_backend_open(scene->config, backend, scene->wall_ms) !=
+    if (config_backend_open(context->config, backend, context->wall_ms) !=
             OPEN_YES ||
         state->host_leaving || state->load.loading[0] != '\0' ||
-        scene->now_ms < state->circuit_open_until_ms ||
-        is_avoided(scene, backend->name)) {
+        context->now_ms < state->circuit_open_until_ms ||
+        is_excluded(context, backend->name)) {
         return false;
     }
     return version == NULL || !state->reported ||
            strcmp(state->load.version, version) == 0;
 }
 
-/* List the backend servers that may serve a model or service now: open by
- * configuration and windows, not leaving, circuit closed, not tried before,
- * and on the wanted weights where a version is asked for. */
+/* Lists the backend servers that can serve a model or service now: not
+ * drained, in or shortly before a maintenance window, on a leaving host,
+ * loading weights, behind an open circuit or excluded.  If a weights version
+ * is given, a server that reported another one is left out. */
 size_t
-place_list_candidates(const place_context_t *scene, const char *serves,
+place_list_candidates(const place_context_t *context, const char *serves,
                       const prefix_t *prefix, const char *version,
                       candidate_t *out, size_t max)
 {
     size_t count = 0;
-    uint64_t home = home_key(prefix);
-    for (size_t i = 0; i < scene->config->backend_count && count < max; i++) {
-        const backend_t *backend = &scene->config->backends[i];
+    uint64_t key = affinity_key(prefix);
+    for (size_t i = 0; i < context->config->backend_count && count < max;
+         i++) {
+        const backend_t *backend = &context->config->backends[i];
         backend_state_t state;
         if (backend->kind == BACKEND_KEPT ||
             strcmp(backend->serves, serves) != 0) {
             continue;
         }
-        uint16_t id = view_assign_id(scene->view, backend->name);
-        if (!view_get(scene->view, id, &state) ||
-            !is_usable(scene, backend, &state, version)) {
+        uint16_t id = view_assign_id(context->view, backend->name);
+        if (!view_get(context->view, id, &state) ||
+            !is_usable(context, backend, &state, version)) {
             continue;
         }
-        candidate_t *found = &out[count++];
-        found->backend = backend;
-        found->id = id;
-        str_copy(found->incarnation, sizeof(found->incarnation),
+        candidate_t *candidate = &out[count++];
+        candidate->backend = backend;
+        candidate->id = id;
+        str_copy(candidate->incarnation, sizeof(candidate->incarnation),
                  state.load.incarnation);
-        str_copy(found->version, sizeof(found->version), state.load.version);
-        found->wait_ms = view_expected_wait_ms(&state);
-        found->prefill_rate = view_prefill_rate(&state);
-        found->running = state.load.running > state.own_running
-                             ? state.load.running
-                             : state.own_running;
-        found->cached_tokens =
-            cache_map_cached_tokens(scene->cache, prefix, id);
-        found->rendezvous_weight =
-            place_rendezvous_weight(home, backend->name);
-        found->same_dc = strcmp(backend->dc, scene->dc) == 0;
+        str_copy(candidate->version, sizeof(candidate->version),
+                 state.load.version);
+        candidate->wait_ms = view_expected_wait_ms(&state);
+        candidate->prefill_rate = view_prefill_rate(&state);
+        candidate->running = state.load.running > state.own_running
+                                 ? state.load.running
+                                 : state.own_running;
+        candidate->cached_tokens =
+            cache_map_cached_tokens(context->cache, prefix, id);
+        candidate->rendezvous_weight =
+            place_rendezvous_weight(key, backend->name);
+        candidate->same_dc = strcmp(backend->dc, context->dc) == 0;
     }
     return count;
 }
 
-/* Time to prefill what a candidate does not hold, in ms. */
+/* Estimates the time to prefill what a candidate has not cached, in ms. */
 double
 place_prefill_ms(const candidate_t *candidate, const prefix_t *prefix)
 {
-    uint32_t held = candidate->cached_tokens < prefix->tokens
-                        ? candidate->cached_tokens
-                        : prefix->tokens;
-    return (prefix->tokens - held) * 1000.0 / candidate->prefill_rate;
+    uint32_t cached = candidate->cached_tokens < prefix->tokens
+                          ? candidate->cached_tokens
+                          : prefix->tokens;
+    return (prefix->tokens - cached) * 1000.0 / candidate->prefill_rate;
 }
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -2,20 +2,21 @@
 
 #include <string.h>
 
-/* Which path is served by what. */
+/* Routes HTTP requests to their handlers by path and method. */
 
 #define BEARER "Bearer "
-#define CUT_OFF_MS 30000
+#define CONTACT_TIMEOUT_MS 30000
 #define OUTCOME_HEADER "X-Celeryspool-Outcome"
 
-typedef void (*caller_handler_t)(celeryspoold_t *daemon, http_req_t *req,
-                                 const workspace_t *workspace,
-                                 const config_t *config);
+typedef void (*workspace_handler_t)(celeryspoold_t *daemon, http_req_t *req,
+                                    const workspace_t *workspace,
+                                    const config_t *config);
 
-/* Find the workspace of a caller's key and go on with it. */
+/* Authenticates the caller, checks its deadline, and calls the handler with
+ * its workspace. */
 static void
-with_workspace(celeryspoold_t *daemon, http_req_t *req,
-               caller_handler_t handler)
+handle_for_workspace(celeryspoold_t *daemon, http_req_t *req,
+                     workspace_handler_t handler)
 {
     const char *header = http_req_header(req, "Authorization");
     config_t *config = daemon_config(daemon);
@@ -29,7 +30,7 @@
         http_req_reply_header(req, OUTCOME_HEADER,
                               outcome_word(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 401, "no_workspace",
-                             "a workspace's bearer key is needed");
+                             "a workspace's bearer key is required");
     }
     else if (call_deadline_span(req) < 0) {
         http_req_reply_header(req, OUTCOME_HEADER,
@@ -48,13 +49,13 @@
 static void
 handle_chat(celeryspoold_t *daemon, http_req_t *req)
 {
-    with_workspace(daemon, req, chat_handle);
+    handle_for_workspace(daemon, req, chat_handle);
 }
 
 static void
 handle_service(celeryspoold_t *daemon, http_req_t *req)
 {
-    with_workspace(daemon, req, service_handle);
+    handle_for_workspace(daemon, req, service_handle);
 }
 
 static void
@@ -64,12 +65,13 @@
     http_req_reply(req, 200, "text/plain", "ok\n", 3);
 }
 
-/* Why the balancer should leave this daemon out, or NULL. */
+/* Returns why the load balancer should send nothing to this daemon, or NULL
+ * if it is ready. */
 static const char *
-not_ready(celeryspoold_t *daemon)
+not_ready_reason(celeryspoold_t *daemon)
 {
     LOCK_SCOPE(&daemon->config_lock);
-    int64_t unheard = time_mono_ms() - daemon->config_heard_ms;
+    int64_t silence_ms = time_mono_ms() - daemon->config_heard_ms;
     switch (daemon_state(daemon)) {
         case STATE_WARMING:
             return "warming";
@@ -78,14 +80,15 @@
         case STATE_READY:
             break;
     }
-    return unheard > CUT_OFF_MS ? "cut off from the platform and all peers"
-                                : NULL;
+    return silence_ms > CONTACT_TIMEOUT_MS
+               ? "cut off from the platform and all peers"
+               : NULL;
 }
 
 static void
 handle_ready(celeryspoold_t *daemon, http_req_t *req)
 {
-    const char *why = not_ready(daemon);
+    const char *why = not_ready_reason(daemon);
     if (why != NULL) {
         http_req_reply_error(req, 503, "not_ready", "%s", why);
         return;
@@ -122,7 +125,7 @@
 typedef struct {
     const char *method; /* NULL for any */
     const char *path;
-    bool below; /* whether paths below it are meant too */
+    bool is_prefix; /* also matches longer paths */
     void (*handle)(celeryspoold_t *daemon, http_req_t *req);
 } route_t;
 
@@ -138,15 +141,16 @@
 static bool
 path_matches(const route_t *route, const char *path)
 {
-    return route->below ? strncmp(path, route->path, strlen(route->path)) == 0
-                        : strcmp(path, route->path) == 0;
+    return route->is_prefix
+               ? strncmp(path, route->path, strlen(route->path)) == 0
+               : strcmp(path, route->path) == 0;
 }
 
-/* Serve one request; called on a server thread and must not block. */
+/* Handles one request.  Called on a server thread; must not block. */
 void
 route_handle(http_req_t *req, void *arg)
 {
-    bool other_method = false;
+    bool path_exists = false;
     for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++) {
         const route_t *route = &routes[i];
         if (!path_matches(route, http_req_path(req))) {
@@ -157,11 +161,11 @@
             route->handle(arg, req);
             return;
         }
-        other_method = true;
+        path_exists = true;
     }
-    if (other_method) {
+    if (path_exists) {
         http_req_reply_error(req, 405, "bad_method",
-                             "this path does not take %s",
+                             "method %s is not allowed on this path",
                              http_req_method(req));
         return;
     }
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -1,13 +1,13 @@
 #ifndef CELERYSPOOL_TABLES_H
 #define CELERYSPOOL_TABLES_H
 
-/* The shared tables and the decisions over them.  Nothing here does I/O or
- * reads a clock: events and a time go in, answers come out.
+/* The shared tables and the decisions based on them.  Nothing here does I/O
+ * or reads a clock: callers pass in events and the current time.
  *
- * Lock order over the whole program: a call's lock, then one of the tables'
- * locks (view, cache map, scheduler, members, configuration), then the leaf
- * locks of the HTTP edges, logs, events and metrics.  No two tables' locks are
- * held at once, but for the view's over the cache map's in placement. */
+ * Lock order of the whole program: a call's lock, then the lock of one table
+ * (view, cache map, scheduler, members, configuration), then the leaf locks
+ * of the HTTP client and server, logs, events and metrics.  No two tables'
+ * locks are held at once. */
 
 #include "config.h"
 #include "prefix.h"
@@ -16,10 +16,11 @@
 
 #define BACKENDS_MAX 1024
 
-/* ---- cache map: which backend server holds which level of a prompt ---- */
+/* ---- cache map: which backend servers hold which prompt prefixes ---- */
 
 typedef struct cache_map cache_map_t;
 
+/* A backend server holds the prefix level with this key. */
 typedef struct {
     uint64_t key;
     uint32_t tokens;
@@ -47,37 +48,39 @@
                              size_t max);
 size_t cache_map_memory_bytes(cache_map_t *map);
 
-/* ---- view: what is known of each backend server now ---- */
+/* ---- view: the known state of each backend server ---- */
 
 typedef struct {
     char incarnation[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
-    char loading[CS_NAME_MAX]; /* weights on their way; empty for none */
+    char loading[CS_NAME_MAX]; /* weights version being loaded, or empty */
     int running;
     int slots;
     int waiting_tokens;
-    int prefill_rate;         /* tokens a second */
-    uint32_t unshared_tokens; /* tokens of requests' own parts, of all time,
-                                 wraps */
-    int total_requests; /* requests of all, by the server's word; -1: not told
-                         */
+    int prefill_rate; /* tokens per second */
+    /* Running total of prompt tokens outside shared prefixes; wraps. */
+    uint32_t unshared_tokens;
+    /* Requests of all hosts at the server, by its own report; -1: unknown. */
+    int total_requests;
 } load_report_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
     load_report_t load;
     bool reported;
-    load_report_t announced; /* what peers were last told of it */
+    load_report_t announced; /* the load that peers were last sent */
     int64_t announced_ms;
-    bool host_leaving; /* by the platform's host list */
+    bool host_leaving; /* according to the platform's host list */
     int64_t reported_ms;
-    double sent_since_report;  /* own uncached tokens sent since the report */
-    double own_waiting_tokens; /* own uncached tokens without a first token */
+    /* Own uncached tokens sent since the last report and not yet prefilled. */
+    double sent_since_report;
+    /* Own uncached tokens of requests without a first token yet. */
+    double own_waiting_tokens;
     int own_running;
-    unsigned consecutive_failures; /* in a row */
-    int64_t circuit_open_until_ms; /* the circuit is open until then */
-    double slowness;               /* observed over expected time, smoothed */
-    uint64_t last_event;           /* number of the last cache event read */
+    unsigned consecutive_failures;
+    int64_t circuit_open_until_ms; /* monotonic */
+    double slowness;     /* smoothed observed / expected time, at least 1 */
+    uint64_t last_event; /* number of the last cache event read */
     char events_incarnation[CS_ID_LEN + 1];
 } backend_state_t;
 
@@ -101,7 +104,7 @@
 void view_record_success(view_t *view, uint16_t id);
 void view_set_host_leaving(view_t *view, uint16_t id, bool leaving);
 void view_set_last_event(view_t *view, uint16_t id, const char *incarnation,
-                         uint64_t after);
+                         uint64_t last_event);
 double view_expected_wait_ms(const backend_state_t *state);
 double view_prefill_rate(const backend_state_t *state);
 size_t view_count(view_t *view);
@@ -114,26 +117,25 @@
     char incarnation[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
     double wait_ms;
-    double prefill_rate; /* tokens a second */
+    double prefill_rate; /* tokens per second */
     int running;
-    uint32_t cached_tokens; /* tokens of the prompt that are believed held */
-    uint64_t
-        rendezvous_weight; /* rendezvous weight; the highest is the home */
+    uint32_t cached_tokens;     /* prompt tokens believed to be in its cache */
+    uint64_t rendezvous_weight; /* the highest of all: preferred server */
     bool same_dc;
 } candidate_t;
 
 typedef struct {
     const prefix_t *prefix;
     objective_t objective;
-    uint64_t placement_count; /* counts the placements of this daemon */
+    uint64_t placement_count; /* placements made so far by this daemon */
 } place_query_t;
 
 typedef struct policy {
     const char *name;
     const char *about;
-    /* The index of the chosen candidate; there is at least one. */
-    size_t (*choose)(const candidate_t *all, size_t count,
-                     const place_query_t *ask);
+    /* Returns the index of the chosen candidate.  The count is at least 1. */
+    size_t (*choose)(const candidate_t *candidates, size_t count,
+                     const place_query_t *query);
     CK_SLIST_ENTRY(policy) entry;
 } policy_t;
 
@@ -147,33 +149,34 @@
     cache_map_t *cache;
     const char *dc;
     int64_t now_ms;          /* monotonic */
-    int64_t wall_ms;         /* for windows */
-    const char *excluded[4]; /* backend servers that were tried already */
+    int64_t wall_ms;         /* for maintenance windows */
+    const char *excluded[4]; /* backend servers already tried, or NULL */
 } place_context_t;
 
-size_t place_list_candidates(const place_context_t *scene, const char *serves,
-                             const prefix_t *prefix, const char *version,
-                             candidate_t *out, size_t max);
+size_t place_list_candidates(const place_context_t *context,
+                             const char *serves, const prefix_t *prefix,
+                             const char *version, candidate_t *out,
+                             size_t max);
 double place_prefill_ms(const candidate_t *candidate, const prefix_t *prefix);
 uint64_t place_rendezvous_weight(uint64_t key, const char *name);
 
-/* ---- fair queue before the backend servers ---- */
+/* ---- fair queue in front of a backend server ---- */
 
 typedef struct sched_item {
     CK_STAILQ_ENTRY(sched_item) entry;
     char workspace[CS_NAME_MAX];
-    int share;
+    int share;               /* weight of the workspace */
     double cost;             /* tokens */
     int64_t deadline_ms;     /* monotonic */
-    int64_t placed_ms;       /* when its place was last thought over */
-    bool first_of_workspace; /* nothing of its workspace waited when it came */
+    int64_t placed_ms;       /* when its server was last chosen */
+    bool first_of_workspace; /* its workspace had nothing queued at arrival */
     void *owner;
 } sched_item_t;
 
 typedef struct sched sched_t;
 
 typedef struct {
-    size_t total_max; /* waiting items over all workspaces */
+    size_t total_max; /* limit of waiting items of all workspaces */
 } sched_opts_t;
 
 sched_t *sched_new(const sched_opts_t *opts);
@@ -190,7 +193,7 @@
 /* ---- retry budget ---- */
 
 typedef struct {
-    uint64_t thousandths; /* of a retry; changed without a lock */
+    uint64_t thousandths; /* thousandths of a retry; changed atomically */
 } retry_budget_t;
 
 void retry_budget_init(retry_budget_t *budget);
@@ -199,13 +202,14 @@
 
 /* ---- resume tokens ---- */
 
+/* Identifies the stream that a caller resumes. */
 typedef struct {
     char workspace[CS_NAME_MAX];
     char backend[CS_NAME_MAX];
     char incarnation[CS_ID_LEN + 1];
     char stream[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
-    uint64_t prompt_hash; /* hash of the prompt that the stream answers */
+    uint64_t prompt_hash; /* of the prompt that the stream answers */
 } resume_t;
 
 #define RESUME_TOKEN_MAX 600
@@ -227,19 +231,19 @@
     char dc[CS_NAME_MAX];
     char peer_addr[CS_ADDR_MAX];
     char http_addr[CS_ADDR_MAX];
-    uint64_t incarnation; /* of the process; grows with each start */
-    uint64_t version;     /* of the record; only its subject raises it */
+    uint64_t incarnation; /* of the process; the highest one is current */
+    uint64_t version; /* of this record; only the member itself raises it */
     member_intent_t intent;
     member_health_t health;
-    int64_t config_generation; /* of its configuration, when last heard */
-    int64_t health_changed_ms; /* when its health last changed here */
+    int64_t config_generation; /* last known generation of its configuration */
+    int64_t health_changed_ms; /* when this daemon last changed its health */
 } member_t;
 
 #define MEMBER_RECORDS_MAX 12
 #define MEMBER_OUTBOX_MAX 48
 
-/* PING asks for an ACK; ASK asks a third member to ping a target and pass
- * its ACK back; SYNC only carries records. */
+/* PING requests an ACK; PING_REQ requests that a third member ping a target
+ * and relay its ACK; SYNC only carries records. */
 typedef enum {
     MEMBER_PING = 1,
     MEMBER_ACK,
@@ -250,12 +254,12 @@
 typedef struct {
     member_message_kind_t kind;
     uint64_t sequence;
-    char target[CS_NAME_MAX];             /* of ASK */
-    member_t records[MEMBER_RECORDS_MAX]; /* the sender's own first */
+    char target[CS_NAME_MAX];             /* of PING_REQ */
+    member_t records[MEMBER_RECORDS_MAX]; /* the first is the sender's own */
     size_t count;
 } member_message_t;
 
-/* Messages to be sent, each to an address. */
+/* Messages to send, each with its address. */
 typedef struct {
     member_message_t messages[MEMBER_OUTBOX_MAX];
     char addrs[MEMBER_OUTBOX_MAX][CS_ADDR_MAX];
--- a/kernel/view.c
+++ b/kernel/view.c
@@ -3,26 +3,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What this daemon believes of each backend server.  A load report lags, so
- * it is corrected by what this daemon has sent since. */
+/* What this daemon knows of each backend server.  A load report is always
+ * somewhat out of date, so it is corrected by what this daemon has sent since
+ * it arrived. */
 
-#define FAILURES_TO_BREAK 3
-#define BREAK_MS 1000
-#define BREAK_MAX_MS 8000
-#define SLOWNESS_WEIGHT 0.1
+#define CIRCUIT_FAILURES_MIN 3
+#define CIRCUIT_OPEN_MIN_MS 1000
+#define CIRCUIT_OPEN_MAX_MS 8000
+#define SLOWNESS_SMOOTHING 0.1
 #define SLOWNESS_MAX 20.0
-#define RATE_UNKNOWN 20000.0
-#define SLOTS_UNKNOWN 64
+#define PREFILL_RATE_DEFAULT 20000.0
+#define SLOTS_DEFAULT 64
 #define INDEX_SIZE (BACKENDS_MAX * 4)
 
 struct view {
     pthread_mutex_t lock;
     size_t count;
     backend_state_t states[BACKENDS_MAX];
-    uint16_t index[INDEX_SIZE]; /* number + 1 by hash of the name, 0 empty */
+    uint16_t index[INDEX_SIZE]; /* id + 1 by hash of the name; 0: empty slot */
 };
 
-/* An empty view. */
+/* Creates an empty view. */
 view_t *
 view_new(void)
 {
@@ -38,27 +39,28 @@
     free(view);
 }
 
-/* Where a name stands in the index, or would stand. */
+/* Finds the index slot of a name, or the empty slot where it belongs. */
 static size_t
-index_of(const view_t *view, const char *name)
+find_slot(const view_t *view, const char *name)
 {
-    size_t at = str_hash(name, 0) % INDEX_SIZE;
-    while (view->index[at] != 0 &&
-           strcmp(view->states[view->index[at] - 1].name, name) != 0) {
-        at = (at + 1) % INDEX_SIZE;
+    size_t slot = str_hash(name, 0) % INDEX_SIZE;
+    while (view->index[slot] != 0 &&
+           strcmp(view->states[view->index[slot] - 1].name, name) != 0) {
+        slot = (slot + 1) % INDEX_SIZE;
     }
-    return at;
+    return slot;
 }
 
-/* The number under which a backend server stands in the tables of this
- * process, for its life.  Past BACKENDS_MAX names all share the last. */
+/* Returns the id of a backend server in the tables of this process, and
+ * assigns one on first use.  Ids are never reused; when BACKENDS_MAX are
+ * taken, all further names share the last one. */
 uint16_t
 view_assign_id(view_t *view, const char *name)
 {
     LOCK_SCOPE(&view->lock);
-    size_t at = index_of(view, name);
-    if (view->index[at] != 0) {
-        return view->index[at] - 1;
+    size_t slot = find_slot(view, name);
+    if (view->index[slot] != 0) {
+        return view->index[slot] - 1;
     }
     if (view->count == BACKENDS_MAX) {
         return BACKENDS_MAX - 1;
@@ -66,7 +68,7 @@
     backend_state_t *state = &view->states[view->count++];
     str_copy(state->name, sizeof(state->name), name);
     state->slowness = 1;
-    view->index[at] = (uint16_t)view->count;
+    view->index[slot] = (uint16_t)view->count;
     return (uint16_t)(view->count - 1);
 }
 
@@ -77,7 +79,7 @@
     return view->count;
 }
 
-/* A copy of one server's state. */
+/* Copies the state of one server; false if the id is not assigned. */
 bool
 view_get(view_t *view, uint16_t id, backend_state_t *out)
 {
@@ -89,8 +91,9 @@
     return true;
 }
 
-/* Take a load report in; true if it shows another incarnation or version
- * than the one before, so that what was cached there is gone. */
+/* Stores a load report.  Returns true if the incarnation or the weights
+ * version differs from that of the previous report: the server's cache is then
+ * gone. */
 bool
 view_apply_report(view_t *view, uint16_t id, const load_report_t *report,
                   int64_t now_ms)
@@ -108,7 +111,7 @@
     return changed;
 }
 
-/* Note what peers have been told of a server's load. */
+/* Records the load of a server that was last sent to peers. */
 void
 view_record_announced(view_t *view, uint16_t id, const load_report_t *report,
                       int64_t now_ms)
@@ -118,7 +121,7 @@
     view->states[id].announced_ms = now_ms;
 }
 
-/* Note the weights that a server itself has just told of. */
+/* Records the weights version that a server has itself reported. */
 void
 view_set_version(view_t *view, uint16_t id, const char *version)
 {
@@ -126,7 +129,7 @@
     str_copy(view->states[id].load.version, CS_NAME_MAX, version);
 }
 
-/* Count a request that goes out, by its uncached tokens. */
+/* Counts a request that is sent, with its uncached tokens. */
 void
 view_add_request(view_t *view, uint16_t id, double tokens)
 {
@@ -138,7 +141,7 @@
 }
 
 static void
-waiting_less(backend_state_t *state, double tokens)
+subtract_prefill(backend_state_t *state, double tokens)
 {
     state->own_waiting_tokens -= tokens;
     state->sent_since_report -= tokens;
@@ -148,51 +151,54 @@
         state->sent_since_report < 0 ? 0 : state->sent_since_report;
 }
 
-/* Count a first token.  How the time observed compares with the time that
- * was expected at sending shows a server that is slow, not dead. */
+/* Records the first token of a request.  The ratio of the observed time to
+ * the time expected at sending detects a server that is slow but still
+ * answers. */
 void
 view_record_first_token(view_t *view, uint16_t id, double tokens,
                         double expected_ms, double observed_ms)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
-    double floor = 5.0;
-    double ratio = (observed_ms + floor) / (expected_ms + floor);
-    waiting_less(state, tokens);
+    double floor_ms = 5.0;
+    double ratio = (observed_ms + floor_ms) / (expected_ms + floor_ms);
+    subtract_prefill(state, tokens);
     ratio = ratio > SLOWNESS_MAX ? SLOWNESS_MAX : ratio;
-    state->slowness += SLOWNESS_WEIGHT * (ratio - state->slowness);
+    state->slowness += SLOWNESS_SMOOTHING * (ratio - state->slowness);
     state->slowness = state->slowness < 1 ? 1 : state->slowness;
 }
 
-/* Count the end of a request that had or had not brought a first token. */
+/* Counts the end of a request; started says whether it had a first token. */
 void
 view_remove_request(view_t *view, uint16_t id, bool started, double tokens)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
     if (!started) {
-        waiting_less(state, tokens);
+        subtract_prefill(state, tokens);
     }
     state->own_running -= state->own_running > 0;
 }
 
-/* Count a failure; a few in a row open the circuit, each time for longer. */
+/* Records a failure.  CIRCUIT_FAILURES_MIN in a row open the circuit, and each
+ * further one doubles the time that it stays open, up to a maximum. */
 void
 view_record_failure(view_t *view, uint16_t id, int64_t now_ms)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
     state->consecutive_failures++;
-    if (state->consecutive_failures < FAILURES_TO_BREAK) {
+    if (state->consecutive_failures < CIRCUIT_FAILURES_MIN) {
         return;
     }
-    unsigned times = state->consecutive_failures - FAILURES_TO_BREAK;
-    int64_t span = BREAK_MS << (times > 3 ? 3 : times);
+    unsigned reopened = state->consecutive_failures - CIRCUIT_FAILURES_MIN;
+    int64_t open_ms = CIRCUIT_OPEN_MIN_MS << (reopened > 3 ? 3 : reopened);
     state->circuit_open_until_ms =
-        now_ms + (span > BREAK_MAX_MS ? BREAK_MAX_MS : span);
+        now_ms +
+        (open_ms > CIRCUIT_OPEN_MAX_MS ? CIRCUIT_OPEN_MAX_MS : open_ms);
 }
 
-/* Count a success, which closes the circuit. */
+/* Records a success, which closes the circuit. */
 void
 view_record_success(view_t *view, uint16_t id)
 {
@@ -201,7 +207,7 @@
     view->states[id].circuit_open_until_ms = 0;
 }
 
-/* Note what the platform's host list says. */
+/* Records whether the platform's host list says that the host is leaving. */
 void
 view_set_host_leaving(view_t *view, uint16_t id, bool leaving)
 {
@@ -209,42 +215,45 @@
     view->states[id].host_leaving = leaving;
 }
 
-/* Note up to which cache event a server's stream has been read. */
+/* Records the last cache event that was read from a server. */
 void
 view_set_last_event(view_t *view, uint16_t id, const char *incarnation,
-                    uint64_t after)
+                    uint64_t last_event)
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
-    state->last_event = after;
+    state->last_event = last_event;
     str_copy(state->events_incarnation, sizeof(state->events_incarnation),
              incarnation);
 }
 
-/* Tokens a second that a server prefills, by its report and our timing. */
+/* Estimates how many tokens per second a server prefills: the reported rate
+ * divided by the observed slowness. */
 double
 view_prefill_rate(const backend_state_t *state)
 {
-    double rate =
-        state->load.prefill_rate > 0 ? state->load.prefill_rate : RATE_UNKNOWN;
-    return rate / state->slowness;
+    double prefill_rate = state->load.prefill_rate > 0
+                              ? state->load.prefill_rate
+                              : PREFILL_RATE_DEFAULT;
+    return prefill_rate / state->slowness;
 }
 
-/* Expected wait before a request that is sent now is begun, in ms. */
+/* Estimates how long a request sent now would wait before its prefill starts,
+ * in ms. */
 double
 view_expected_wait_ms(const backend_state_t *state)
 {
     double tokens = state->load.waiting_tokens + state->sent_since_report;
-    int slots = state->load.slots > 0 ? state->load.slots : SLOTS_UNKNOWN;
+    int slots = state->load.slots > 0 ? state->load.slots : SLOTS_DEFAULT;
     int running = state->load.running > state->own_running
                       ? state->load.running
                       : state->own_running;
     if (tokens < state->own_waiting_tokens) {
         tokens = state->own_waiting_tokens;
     }
-    double wait = tokens * 1000.0 / view_prefill_rate(state);
+    double wait_ms = tokens * 1000.0 / view_prefill_rate(state);
     if (running >= slots) {
-        wait += 20.0 * (running - slots + 1);
+        wait_ms += 20.0 * (running - slots + 1);
     }
-    return wait;
+    return wait_ms;
 }
