--- a/kernel/cache-map.c
+++ b/kernel/cache-map.c
@@ -4,20 +4,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Learnt places of prompt levels.  An entry names a few holders; which
- * incarnation of a holder was meant is kept as an epoch, so that forgetting
- * a crashed server is one increment.  Entries unused for longest go first. */
+/* A bounded map from prefix level keys to the backend servers that hold them.
+ * An entry lists a few holders, each with the epoch of its server, so that all
+ * entries of a restarted server are invalidated by one increment.  Eviction is
+ * least recently used first. */
 
 #define HOLDERS_MAX 8
-/* A note is worth passing on again after this, ms: well within the time that
- * servers keep what is not used. */
-#define NOTE_STALE_MS 2000
+/* A holder is announced to peers again after this time, ms.  It is well below
+ * the time that servers keep unused entries. */
+#define HOLDER_REFRESH_MS 2000
 #define BUCKET_FACTOR 2
 
 typedef struct {
     uint16_t backend;
     uint16_t epoch;
-    int64_t noted_ms; /* when it was last known to hold the level */
+    int64_t confirmed_ms; /* when it was last known to hold the level */
 } holder_t;
 
 typedef struct cache_entry {
@@ -42,7 +43,7 @@
     uint16_t epochs[BACKENDS_MAX];
 };
 
-/* A map for so many entries. */
+/* Creates a map for at most entries_max entries. */
 cache_map_t *
 cache_map_new(size_t entries_max)
 {
@@ -55,13 +56,13 @@
 }
 
 static cache_entry_t *
-entry_of(lru_link_t *link)
+entry_from_link(lru_link_t *link)
 {
     return LRU_ENTRY(link, cache_entry_t, lru);
 }
 
 static void
-entry_free(cache_map_t *map, cache_entry_t *entry)
+entry_remove(cache_map_t *map, cache_entry_t *entry)
 {
     lru_remove(&map->lru, &entry->lru);
     CK_LIST_REMOVE(entry, bucket);
@@ -69,12 +70,12 @@
     free(entry);
 }
 
-/* Free the map and all entries. */
+/* Frees the map and all entries. */
 void
 cache_map_free(cache_map_t *map)
 {
     while (map->lru.oldest != NULL) {
-        entry_free(map, entry_of(map->lru.oldest));
+        entry_remove(map, entry_from_link(map->lru.oldest));
     }
     free(map->buckets);
     (void)pthread_mutex_destroy(&map->lock);
@@ -94,10 +95,10 @@
 }
 
 static cache_entry_t *
-entry_make(cache_map_t *map, uint64_t key, uint32_t tokens)
+entry_add(cache_map_t *map, uint64_t key, uint32_t tokens)
 {
     if (map->size >= map->max) {
-        entry_free(map, entry_of(map->lru.oldest));
+        entry_remove(map, entry_from_link(map->lru.oldest));
     }
     cache_entry_t *entry = mem_zalloc(sizeof(*entry));
     entry->key = key;
@@ -109,7 +110,7 @@
 }
 
 static bool
-holder_valid(const cache_map_t *map, const holder_t *holder)
+holder_is_valid(const cache_map_t *map, const holder_t *holder)
 {
     return map->epochs[holder->backend] == holder->epoch;
 }
@@ -120,7 +121,7 @@
 {
     for (int i = 0; i < entry->count; i++) {
         if (entry->holders[i].backend == backend &&
-            holder_valid(map, &entry->holders[i])) {
+            holder_is_valid(map, &entry->holders[i])) {
             return i;
         }
     }
@@ -132,7 +133,8 @@
            int64_t now_ms)
 {
     int slot = 0;
-    while (slot < entry->count && holder_valid(map, &entry->holders[slot]) &&
+    while (slot < entry->count &&
+           holder_is_valid(map, &entry->holders[slot]) &&
            entry->holders[slot].backend != backend) {
         slot++;
     }
@@ -147,7 +149,7 @@
     }
 }
 
-/* Remember that a backend server holds a level; true if that is news. */
+/* Adds a backend server as a holder of a level; true if it was not listed. */
 bool
 cache_map_add_holder(cache_map_t *map, uint16_t backend, uint64_t key,
                      uint32_t tokens)
@@ -155,9 +157,10 @@
     return cache_map_add_holder_at(map, backend, key, tokens, 0);
 }
 
-/* The same, with the time: a server forgets what is not used for long, so who
- * asks for holders may ask for those since a time.  It is also news that a
- * level which was not noted for a while is still there. */
+/* The same with the time: servers evict what is unused for long, so a lookup
+ * can require holders confirmed since a given time.  Also returns true if the
+ * last confirmation was HOLDER_REFRESH_MS ago or more, so that peers are
+ * notified again. */
 bool
 cache_map_add_holder_at(cache_map_t *map, uint16_t backend, uint64_t key,
                         uint32_t tokens, int64_t now_ms)
@@ -165,37 +168,37 @@
     LOCK_SCOPE(&map->lock);
     cache_entry_t *entry = entry_find(map, key);
     if (entry == NULL) {
-        entry = entry_make(map, key, tokens);
+        entry = entry_add(map, key, tokens);
     }
     entry->uses++;
     lru_touch(&map->lru, &entry->lru);
-    int at = holder_find(map, entry, backend);
-    if (at >= 0) {
-        int64_t before_ms = entry->holders[at].noted_ms;
-        entry->holders[at].noted_ms = now_ms;
-        return now_ms - before_ms >= NOTE_STALE_MS;
+    int slot = holder_find(map, entry, backend);
+    if (slot >= 0) {
+        int64_t previous_ms = entry->holders[slot].confirmed_ms;
+        entry->holders[slot].confirmed_ms = now_ms;
+        return now_ms - previous_ms >= HOLDER_REFRESH_MS;
     }
     holder_add(map, entry, backend, now_ms);
     return true;
 }
 
-/* Forget one holder of a level; true if it had been believed. */
+/* Removes one holder of a level; true if it was listed. */
 bool
 cache_map_remove_holder(cache_map_t *map, uint16_t backend, uint64_t key)
 {
     LOCK_SCOPE(&map->lock);
     cache_entry_t *entry = entry_find(map, key);
-    int at = entry == NULL ? -1 : holder_find(map, entry, backend);
-    if (at < 0) {
+    int slot = entry == NULL ? -1 : holder_find(map, entry, backend);
+    if (slot < 0) {
         return false;
     }
-    entry->holders[at] = entry->holders[entry->count - 1];
+    entry->holders[slot] = entry->holders[entry->count - 1];
     entry->count--;
     return true;
 }
 
-/* Forget all that a backend server held: it came back empty, or with other
- * weights. */
+/* Invalidates everything that a backend server held, after it has restarted
+ * with an empty cache or loaded other weights. */
 void
 cache_map_clear_backend(cache_map_t *map, uint16_t backend)
 {
@@ -203,8 +206,8 @@
     map->epochs[backend]++;
 }
 
-/* How many tokens of a prompt a backend server is believed to hold: those
- * of the deepest level that it is known for. */
+/* Returns how many tokens of a prompt a backend server is believed to hold:
+ * those of the deepest level that it is listed for. */
 uint32_t
 cache_map_cached_tokens(cache_map_t *map, const prefix_t *prefix,
                         uint16_t backend)
@@ -212,7 +215,7 @@
     return cache_map_cached_tokens_since(map, prefix, backend, 0);
 }
 
-/* The same, counting only what was noted since a time. */
+/* The same, counting only holders confirmed since a given time. */
 uint32_t
 cache_map_cached_tokens_since(cache_map_t *map, const prefix_t *prefix,
                               uint16_t backend, int64_t since_ms)
@@ -221,15 +224,16 @@
     for (unsigned i = prefix->count; i > 0; i--) {
         const prefix_level_t *level = &prefix->levels[i - 1];
         cache_entry_t *entry = entry_find(map, level->key);
-        int at = entry == NULL ? -1 : holder_find(map, entry, backend);
-        if (at >= 0 && entry->holders[at].noted_ms >= since_ms) {
+        int slot = entry == NULL ? -1 : holder_find(map, entry, backend);
+        if (slot >= 0 && entry->holders[slot].confirmed_ms >= since_ms) {
             return level->tokens;
         }
     }
     return 0;
 }
 
-/* Who is believed to hold a level since a time, the last noted last. */
+/* Lists the holders of a level confirmed since a given time, mostly in the
+ * order in which they were added. */
 size_t
 cache_map_list_holders(cache_map_t *map, uint64_t key, int64_t since_ms,
                        uint16_t *out, size_t max)
@@ -238,15 +242,15 @@
     const cache_entry_t *entry = entry_find(map, key);
     size_t count = 0;
     for (int i = 0; entry != NULL && i < entry->count && count < max; i++) {
-        if (holder_valid(map, &entry->holders[i]) &&
-            entry->holders[i].noted_ms >= since_ms) {
+        if (holder_is_valid(map, &entry->holders[i]) &&
+            entry->holders[i].confirmed_ms >= since_ms) {
             out[count++] = entry->holders[i].backend;
         }
     }
     return count;
 }
 
-/* Whether a key is a level that some prompt here had. */
+/* Whether the map has an entry for a level key. */
 bool
 cache_map_has_key(cache_map_t *map, uint64_t key)
 {
@@ -261,17 +265,18 @@
     return map->size;
 }
 
-/* The most recently used facts, for the snapshot that warms a peer.  A level
- * that was used once is most often a request's own and not worth its room. */
+/* Lists the most recently used levels with their holders, for the snapshot
+ * from which a peer warms up.  A level used only once most often belongs to a
+ * single request and is left out. */
 size_t
 cache_map_list_reused(cache_map_t *map, cache_fact_t *facts, size_t max)
 {
     size_t count = 0;
     LOCK_SCOPE(&map->lock);
-    for (cache_entry_t *entry = entry_of(map->lru.newest); entry != NULL;
-         entry = entry_of(entry->lru.older)) {
+    for (cache_entry_t *entry = entry_from_link(map->lru.newest);
+         entry != NULL; entry = entry_from_link(entry->lru.older)) {
         for (int i = 0; i < entry->count && count < max; i++) {
-            if (entry->uses > 1 && holder_valid(map, &entry->holders[i])) {
+            if (entry->uses > 1 && holder_is_valid(map, &entry->holders[i])) {
                 facts[count++] = (cache_fact_t){entry->key, entry->tokens,
                                                 entry->holders[i].backend};
             }
@@ -280,7 +285,7 @@
     return count;
 }
 
-/* Bytes that the map takes at its present size. */
+/* Returns the memory that the map uses now, in bytes. */
 size_t
 cache_map_memory_bytes(cache_map_t *map)
 {
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -3,36 +3,37 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Load reports and cache events.  Each backend server's are read by one
- * daemon, by rendezvous over the live ones, which passes on what its peers
- * need: the load, and which known levels came or went.  That a duty is held
- * twice or by nobody for a moment costs accuracy only. */
-
-#define FEED_MS 100
-#define EVENTS_EVERY 2 /* rounds */
+/* Polls backend servers for load reports and cache events.  Each server is
+ * polled by one daemon, chosen by rendezvous hashing over the live ones, which
+ * announces to its peers what they need: the load, and which known levels were
+ * stored or evicted.  If for a moment two daemons or none poll a server, only
+ * accuracy suffers. */
+
+#define POLL_INTERVAL_MS 100
+#define EVENT_POLL_ROUNDS 2
 #define TIMEOUT_MS 1000
-#define WAITING_STEP 100 /* tokens */
-#define RUNNING_STEP 3
-#define TELL_ANYWAY_MS 1000
+#define ANNOUNCE_WAITING_CHANGE_TOKENS 100
+#define ANNOUNCE_RUNNING_CHANGE 3
+#define ANNOUNCE_INTERVAL_MAX_MS 1000
 
-/* One exchange; freed at its end. */
+/* One HTTP request to a backend server; freed when it ends. */
 typedef struct {
     celeryspoold_t *daemon;
     char backend[CS_NAME_MAX];
     bool events;
     buf_t body;
-} feed_t;
+} poll_request_t;
 
 static void
 on_data(void *arg, int status, const char *data, size_t len)
 {
     (void)status;
-    feed_t *feed = arg;
-    buf_add(&feed->body, data, len);
+    poll_request_t *request = arg;
+    buf_add(&request->body, data, len);
 }
 
-/* Take a load report in, from the server itself or from a peer.  Another
- * incarnation or version means that its cache is gone. */
+/* Applies a load report, from the server itself or from a peer.  A changed
+ * incarnation or weights version means that the server's cache is gone. */
 void
 feed_take_load(celeryspoold_t *daemon, const char *backend,
                const load_report_t *report)
@@ -46,38 +47,39 @@
     }
 }
 
-/* Peers are told of a load only where it would change a choice, and once in
- * a while all the same, since datagrams get lost. */
+/* A load is announced to peers when it has changed enough to affect placement,
+ * and at least every ANNOUNCE_INTERVAL_MAX_MS, since datagrams get lost. */
 static bool
-worth_telling(const backend_state_t *before, const load_report_t *now,
-              int64_t now_ms)
+should_announce(const backend_state_t *state, const load_report_t *report,
+                int64_t now_ms)
 {
-    const load_report_t *told = &before->announced;
-    int waiting = now->waiting_tokens - told->waiting_tokens;
-    int running = now->running - told->running;
-    return strcmp(told->incarnation, now->incarnation) != 0 ||
-           strcmp(told->version, now->version) != 0 ||
-           strcmp(told->loading, now->loading) != 0 ||
-           abs(waiting) > WAITING_STEP || abs(running) > RUNNING_STEP ||
-           now_ms - before->announced_ms > TELL_ANYWAY_MS;
+    const load_report_t *announced = &state->announced;
+    int waiting = report->waiting_tokens - announced->waiting_tokens;
+    int running = report->running - announced->running;
+    return strcmp(announced->incarnation, report->incarnation) != 0 ||
+           strcmp(announced->version, report->version) != 0 ||
+           strcmp(announced->loading, report->loading) != 0 ||
+           abs(waiting) > ANNOUNCE_WAITING_CHANGE_TOKENS ||
+           abs(running) > ANNOUNCE_RUNNING_CHANGE ||
+           now_ms - state->announced_ms > ANNOUNCE_INTERVAL_MAX_MS;
 }
 
 static void
-tell_load(celeryspoold_t *daemon, const char *backend,
-          const load_report_t *report)
+announce_load(celeryspoold_t *daemon, const char *backend,
+              const load_report_t *report)
 {
     backend_state_t state;
     uint16_t id = view_assign_id(daemon->view, backend);
-    int64_t now = time_mono_ms();
+    int64_t now_ms = time_mono_ms();
     if (view_get(daemon->view, id, &state) &&
-        worth_telling(&state, report, now)) {
-        view_record_announced(daemon->view, id, report, now);
+        should_announce(&state, report, now_ms)) {
+        view_record_announced(daemon->view, id, report, now_ms);
         peer_tell_load(daemon->peer, backend, report);
     }
 }
 
 static void
-take_load(celeryspoold_t *daemon, const char *backend, const json_t *body)
+parse_load(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
     load_report_t report = {
         .running = (int)json_int(body, "running", 0),
@@ -94,30 +96,31 @@
     str_copy(report.incarnation, sizeof(report.incarnation), incarnation);
     str_copy(report.version, sizeof(report.version), version);
     feed_take_load(daemon, backend, &report);
-    tell_load(daemon, backend, &report);
+    announce_load(daemon, backend, &report);
 }
 
 static void
-take_cache_event(celeryspoold_t *daemon, const char *backend, uint16_t id,
-                 const json_t *event)
+apply_cache_event(celeryspoold_t *daemon, const char *backend, uint16_t id,
+                  const json_t *event)
 {
     bool stored = json_is_true(json_array_get(event, 1));
     uint64_t key = (uint64_t)json_integer_value(json_array_get(event, 2));
-    bool news = false;
+    bool changed = false;
     if (!cache_map_has_key(daemon->cache, key)) {
         return;
     }
-    news = stored ? cache_map_add_holder(daemon->cache, id, key, 0)
-                  : cache_map_remove_holder(daemon->cache, id, key);
-    if (news) {
+    changed = stored ? cache_map_add_holder(daemon->cache, id, key, 0)
+                     : cache_map_remove_holder(daemon->cache, id, key);
+    if (changed) {
         peer_tell_cached(daemon->peer, backend, key, 0, stored);
     }
 }
 
-/* Events carry numbers; gaps are not asked for again, since a wrong belief
- * costs one recomputation and the answer's own usage corrects it. */
+/* Applies cache events in order.  Missing event numbers are not requested
+ * again: a wrong entry costs one recomputation, and the usage in the answer
+ * corrects it. */
 static void
-take_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
+apply_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
     uint16_t id = view_assign_id(daemon->view, backend);
     const char *incarnation = json_text(body, "incarnation");
@@ -127,47 +130,47 @@
     if (incarnation == NULL || !view_get(daemon->view, id, &state)) {
         return;
     }
-    bool other = strcmp(state.events_incarnation, incarnation) != 0;
-    uint64_t after = other ? 0 : state.last_event;
-    if (other && state.last_event > 0) {
+    bool restarted = strcmp(state.events_incarnation, incarnation) != 0;
+    uint64_t last_event = restarted ? 0 : state.last_event;
+    if (restarted && state.last_event > 0) {
         view_set_last_event(daemon->view, id, incarnation, 0);
         return;
     }
     json_array_foreach (json_object_get(body, "events"), i, event) {
-        take_cache_event(daemon, backend, id, event);
-        after = (uint64_t)json_integer_value(json_array_get(event, 0));
+        apply_cache_event(daemon, backend, id, event);
+        last_event = (uint64_t)json_integer_value(json_array_get(event, 0));
     }
-    view_set_last_event(daemon->view, id, incarnation, after);
+    view_set_last_event(daemon->view, id, incarnation, last_event);
 }
 
 static void
 on_end(void *arg, http_end_t end, int status)
 {
-    feed_t *feed = arg;
+    poll_request_t *request = arg;
     if (end == HTTP_END_WHOLE && status == 200) {
         CLEAN_JSON json_t *body =
-            json_loadb(buf_text(&feed->body), feed->body.len, 0, NULL);
-        if (feed->events) {
-            take_events(feed->daemon, feed->backend, body);
+            json_loadb(buf_text(&request->body), request->body.len, 0, NULL);
+        if (request->events) {
+            apply_events(request->daemon, request->backend, body);
         }
         else {
-            take_load(feed->daemon, feed->backend, body);
-            dispatch_run(feed->daemon);
+            parse_load(request->daemon, request->backend, body);
+            dispatch_run(request->daemon);
         }
     }
-    buf_free(&feed->body);
-    free(feed);
+    buf_free(&request->body);
+    free(request);
 }
 
 static void
-ask(celeryspoold_t *daemon, const backend_t *backend, const char *path,
-    bool events)
+send_poll(celeryspoold_t *daemon, const backend_t *backend, const char *path,
+          bool events)
 {
     char url[CS_ADDR_MAX + 96];
-    feed_t *feed = mem_zalloc(sizeof(*feed));
-    feed->daemon = daemon;
-    feed->events = events;
-    str_copy(feed->backend, sizeof(feed->backend), backend->name);
+    poll_request_t *request = mem_zalloc(sizeof(*request));
+    request->daemon = daemon;
+    request->events = events;
+    str_copy(request->backend, sizeof(request->backend), backend->name);
     (void)snprintf(url, sizeof(url), "http://%s%s", backend->addr, path);
     http_call_t call = {.method = "GET",
                         .url = url,
@@ -175,12 +178,12 @@
                         .total_ms = TIMEOUT_MS,
                         .on_data = on_data,
                         .on_end = on_end,
-                        .arg = feed};
+                        .arg = request};
     (void)http_client_start(daemon->client, &call);
 }
 
 static void
-ask_backend(celeryspoold_t *daemon, const backend_t *backend, bool events)
+poll_backend(celeryspoold_t *daemon, const backend_t *backend, bool events)
 {
     char path[64];
     char duty[CS_NAME_MAX + 8];
@@ -194,14 +197,14 @@
     }
     (void)snprintf(path, sizeof(path), "/kv_events?after=%llu",
                    (unsigned long long)state.last_event);
-    ask(daemon, backend, "/load", false);
+    send_poll(daemon, backend, "/load", false);
     if (events) {
-        ask(daemon, backend, path, true);
+        send_poll(daemon, backend, path, true);
     }
 }
 
 static void
-take_hosts(celeryspoold_t *daemon)
+update_hosts(celeryspoold_t *daemon)
 {
     CLEAN_JSON json_t *hosts = store_hosts_wait(daemon->store);
     size_t i;
@@ -217,8 +220,8 @@
     }
 }
 
-/* The thread that asks the servers whose duty falls to this daemon, and now
- * and then the platform for its hosts. */
+/* The thread that polls the servers assigned to this daemon and, less often,
+ * the platform's host list. */
 void *
 feed_run(void *arg)
 {
@@ -227,14 +230,14 @@
     while (!__atomic_load_n(&daemon->stopping, __ATOMIC_ACQUIRE)) {
         config_t *config = daemon_config(daemon);
         for (size_t i = 0; i < config->backend_count; i++) {
-            ask_backend(daemon, &config->backends[i],
-                        round % EVENTS_EVERY == 0);
+            poll_backend(daemon, &config->backends[i],
+                         round % EVENT_POLL_ROUNDS == 0);
         }
         config_release(config);
         if (round++ % 10 == 0) {
-            take_hosts(daemon);
+            update_hosts(daemon);
         }
-        time_sleep_ms(FEED_MS);
+        time_sleep_ms(POLL_INTERVAL_MS);
     }
     return NULL;
 }
--- a/kernel/fetch.c
+++ b/kernel/fetch.c
@@ -2,9 +2,9 @@
 
 #include <stdlib.h>
 
-/* Longest answer, bytes: a page of the store is about a megabyte.  What is
- * longer is cut here and cannot be read then. */
-#define ANSWER_MAX (4u << 20)
+/* Longest answer: a page of the store is about a megabyte.  What exceeds this
+ * is dropped, so that a longer answer fails to parse. */
+#define ANSWER_BYTES_MAX (4u << 20)
 
 struct fetch {
     exchange_t *exchange;
@@ -26,7 +26,7 @@
 on_body(void *arg, const char *data, size_t len)
 {
     fetch_t *fetch = arg;
-    if (fetch->answer.len + len <= ANSWER_MAX) {
+    if (fetch->answer.len + len <= ANSWER_BYTES_MAX) {
         buf_add(&fetch->answer, data, len);
     }
 }
@@ -45,24 +45,24 @@
     free(fetch);
 }
 
-/* Start a call; nothing is told before this returns. */
+/* Starts a request; on_done is not called before this returns. */
 fetch_t *
-fetch_start(exchanges_t *exchanges, const fetch_options_t *ask)
+fetch_start(exchanges_t *exchanges, const fetch_options_t *options)
 {
     fetch_t *fetch = mem_zalloc(sizeof(*fetch));
     exchange_hooks_t hooks = {on_head, on_body, on_end, fetch};
-    exchange_ask_t call = {.addr = ask->addr,
-                           .head = ask->request->data,
-                           .head_len = ask->request->len,
-                           .connect_ms = ask->connect_ms,
-                           .total_ms = ask->total_ms};
-    fetch->on_done = ask->on_done;
-    fetch->arg = ask->arg;
-    fetch->exchange = exchange_start(exchanges, &call, &hooks);
+    exchange_ask_t request = {.addr = options->addr,
+                              .head = options->request->data,
+                              .head_len = options->request->len,
+                              .connect_ms = options->connect_ms,
+                              .total_ms = options->total_ms};
+    fetch->on_done = options->on_done;
+    fetch->arg = options->arg;
+    fetch->exchange = exchange_start(exchanges, &request, &hooks);
     return fetch;
 }
 
-/* Give a call up; nothing is told any more. */
+/* Cancels a request; on_done is not called any more. */
 void
 fetch_cancel(fetch_t *fetch)
 {
--- a/kernel/lru.c
+++ b/kernel/lru.c
@@ -1,6 +1,6 @@
 #include "lru.h"
 
-/* Put an entry that is on no list in as the one used last. */
+/* Adds an entry that is on no list as the most recently used one. */
 void
 lru_add(lru_t *lru, lru_link_t *link)
 {
@@ -32,7 +32,7 @@
     }
 }
 
-/* An entry of the list is used. */
+/* Makes an entry of the list the most recently used one. */
 void
 lru_touch(lru_t *lru, lru_link_t *link)
 {
--- a/kernel/lru.h
+++ b/kernel/lru.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_LRU_H
 #define CELERYSPOOL_LRU_H
 
-/* An intrusive list in the order of last use.  The owner of the list owns its
- * entries and guards both; an entry is on one such list at most. */
+/* An intrusive list in order of last use.  The owner of the list owns the
+ * entries and locks both; an entry is on at most one such list. */
 
 #include <stddef.h>
 
@@ -16,7 +16,7 @@
     lru_link_t *oldest;
 } lru_t;
 
-/* The entry of a type around its link, or NULL for none. */
+/* Returns the entry that contains a link, or NULL if the link is NULL. */
 #define LRU_ENTRY(link, type, field) \
     ((link) == NULL ? NULL : (type *)((char *)(link)-offsetof(type, field)))
 
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -2,17 +2,18 @@
 
 #include <string.h>
 
-/* Orders to load weights.  The wanted version is the configuration's; what
- * is loaded is read back from each server's report, and whoever has the duty
- * goes on until the two agree, so a late order of an older issuer is
- * corrected rather than trusted not to happen.
+/* Orders to load weights.  The configuration names the desired version and
+ * each server reports the version that it has loaded.  The daemon that has the
+ * duty for a server repeats the order until the two agree, so a late order
+ * from a previous issuer is corrected.
  *
- * A server that honours fencing gets the configuration's generation as its
- * fence.  For one that does not, an issuer first takes a lease in the
- * platform; its time counts from before the request for it, and the
- * successor waits for the end of the longest order behind the lease. */
+ * A server that honours fencing gets the configuration's generation as the
+ * fencing token.  For one that does not, the issuer first acquires a lease in
+ * the platform's store.  The lease time counts from before the request for it,
+ * and a successor waits ORDER_TIMEOUT_MS past its end, so that an order still
+ * in flight has ended. */
 
-#define ORDER_STEP_MS 200
+#define ORDER_INTERVAL_MS 200
 #define ORDER_TIMEOUT_MS 1000
 #define LEASE_MS 4000
 
@@ -28,9 +29,9 @@
            state.reported && strcmp(state.load.version, model->version) != 0;
 }
 
-/* Read the lease; 0 where it is free for this daemon. */
+/* Reads the lease and its object version; 0 if this daemon may acquire it. */
 static int
-lease_read(celeryspoold_t *daemon, const char *object, int64_t *version)
+lease_check(celeryspoold_t *daemon, const char *object, int64_t *version)
 {
     CLEAN_JSON json_t *value = NULL;
     store_result_t result =
@@ -43,56 +44,58 @@
         return -1;
     }
     const char *holder = json_text(value, "holder");
-    int64_t until = json_int(value, "until_ms", 0) + ORDER_TIMEOUT_MS;
-    bool mine =
+    int64_t takeover_ms = json_int(value, "until_ms", 0) + ORDER_TIMEOUT_MS;
+    bool is_holder =
         holder != NULL && strcmp(holder, daemon->settings.name) == 0 &&
         json_int(value, "incarnation", 0) == (int64_t)daemon->incarnation;
-    return mine || time_wall_ms() > until ? 0 : -1;
+    return is_holder || time_wall_ms() > takeover_ms ? 0 : -1;
 }
 
-/* Take the lease for a server; its end by the wall clock, or 0. */
+/* Acquires the lease for a server.  Returns when it expires, in wall time, or
+ * 0 if it was not acquired. */
 static int64_t
-lease_take(celeryspoold_t *daemon, const backend_t *backend,
-           const char *version)
+lease_acquire(celeryspoold_t *daemon, const backend_t *backend,
+              const char *version)
 {
     char object[CS_NAME_MAX + 16];
-    int64_t have = 0;
-    int64_t before = time_wall_ms();
+    int64_t object_version = 0;
+    int64_t requested_ms = time_wall_ms();
     (void)snprintf(object, sizeof(object), "orders/%s", backend->name);
-    if (lease_read(daemon, object, &have) != 0) {
+    if (lease_check(daemon, object, &object_version) != 0) {
         return 0;
     }
     CLEAN_JSON json_t *lease =
         json_pack("{s:s,s:I,s:I,s:s}", "holder", daemon->settings.name,
                   "incarnation", (json_int_t)daemon->incarnation, "until_ms",
-                  (json_int_t)(before + LEASE_MS), "intent", version);
-    int64_t now = 0;
-    store_result_t result =
-        store_put_wait(daemon->store, object, have, lease, &now);
-    return result == STORE_OK ? before + LEASE_MS : 0;
+                  (json_int_t)(requested_ms + LEASE_MS), "intent", version);
+    int64_t new_version = 0;
+    store_result_t result = store_put_wait(
+        daemon->store, object, object_version, lease, &new_version);
+    return result == STORE_OK ? requested_ms + LEASE_MS : 0;
 }
 
-/* The time left to an issuer is looked at behind the last step that blocks;
- * one that was frozen meanwhile finds its lease over and sends nothing. */
+/* Whether this daemon may send an order now.  The remaining lease time is
+ * checked after the last blocking step, so an issuer that was suspended
+ * meanwhile finds its lease expired and sends nothing. */
 static bool
-may_issue(celeryspoold_t *daemon, const backend_t *backend,
-          const char *version)
+can_send_order(celeryspoold_t *daemon, const backend_t *backend,
+               const char *version)
 {
     if (backend->honours_fencing) {
         return true;
     }
-    int64_t until = lease_take(daemon, backend, version);
-    return until != 0 && time_wall_ms() + ORDER_TIMEOUT_MS < until;
+    int64_t expires_ms = lease_acquire(daemon, backend, version);
+    return expires_ms != 0 && time_wall_ms() + ORDER_TIMEOUT_MS < expires_ms;
 }
 
 static void
-issue(celeryspoold_t *daemon, const config_t *config, const model_t *model,
-      const backend_t *backend)
+send_order(celeryspoold_t *daemon, const config_t *config,
+           const model_t *model, const backend_t *backend)
 {
     char url[CS_ADDR_MAX + 32];
     CLEAN_BUF buf_t reply = {0};
     int status = 0;
-    if (!may_issue(daemon, backend, model->version)) {
+    if (!can_send_order(daemon, backend, model->version)) {
         return;
     }
     CLEAN_JSON json_t *order =
@@ -111,34 +114,35 @@
     http_end_t end = http_fetch(&call, &status, &reply);
     event_emit(&(event_t){
         .kind = "order", .backend = backend->name, .detail = model->version});
-    log_info("order", "%s was told to load %s: %s %d.", backend->name,
+    log_info("order", "Ordered %s to load %s: %s %d.", backend->name,
              model->version, end == HTTP_END_WHOLE ? "answered" : "no answer",
              status);
 }
 
-/* Of the servers that still need the version, in the configuration's order,
- * only the first loads_max are told; the others follow as these report. */
+/* Sends orders to the servers that still need the version.  Only the first
+ * loads_max of them, in the configuration's order, load at a time; the others
+ * follow once these report the version. */
 static void
 roll_out(celeryspoold_t *daemon, const config_t *config, const model_t *model)
 {
-    int under_way = 0;
+    int pending = 0;
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
         char duty[CS_NAME_MAX + 8];
         if (!needs_order(daemon, model, backend)) {
             continue;
         }
-        if (++under_way > model->loads_max) {
+        if (++pending > model->loads_max) {
             return;
         }
         (void)snprintf(duty, sizeof(duty), "order/%s", backend->name);
         if (members_has_duty(daemon->members, duty)) {
-            issue(daemon, config, model, backend);
+            send_order(daemon, config, model, backend);
         }
     }
 }
 
-/* The thread that brings the servers to the wanted weights. */
+/* The thread that brings all servers to the desired weights version. */
 void *
 order_run(void *arg)
 {
@@ -149,7 +153,7 @@
             roll_out(daemon, config, &config->models[i]);
         }
         config_release(config);
-        time_sleep_ms(ORDER_STEP_MS);
+        time_sleep_ms(ORDER_INTERVAL_MS);
     }
     return NULL;
 }
--- a/kernel/prefix.h
+++ b/kernel/prefix.h
@@ -1,7 +1,8 @@
 #ifndef CELERYSPOOL_PREFIX_H
 #define CELERYSPOOL_PREFIX_H
 
-/* Prompt prefixes: how a chat becomes blocks and level keys. */
+/* Prompt prefixes: a chat is split into blocks of tokens, and the end of each
+ * message is a level with a key. */
 
 #include "base.h"
 
@@ -10,8 +11,8 @@
 #define PREFIX_BLOCK_BYTES (PREFIX_TOKEN_BYTES * PREFIX_BLOCK_TOKENS)
 #define PREFIX_LEVELS_MAX 8
 
-/* The key of the last whole block of a level, and how many tokens of the
- * prompt it covers. */
+/* The key of the last whole block of a level, and the number of prompt tokens
+ * up to the end of that block. */
 typedef struct {
     uint64_t key;
     uint32_t tokens;
--- a/plugins/policy-cost.c
+++ b/plugins/policy-cost.c
@@ -2,33 +2,34 @@
 
 #include <stdlib.h>
 
-/* The project's own policy: the least cost of waiting and recomputing.  What
- * is recomputed delays everybody who comes behind, by 1/(1 - utilisation) in
- * a queue; that factor is taken from the waits themselves, since a wait over
- * the time of service is utilisation/(1 - utilisation).  So the busier the
- * servers are, the less a request is sent where its prefix is not held.
- * Where waste weighs more than time, recomputation counts several times
- * over.  A home computed by rendezvous is favoured while nobody is known to
- * hold anything, so that daemons that know nothing still agree. */
+/* The default policy: the lowest cost of waiting plus recomputation.
+ * Recomputed tokens also delay all later requests in the queue, by a factor of
+ * 1/(1 - utilisation).  The factor is estimated from the waits, since a wait
+ * divided by the service time is utilisation/(1 - utilisation).  The busier
+ * the servers are, the less likely a request goes to one without its prefix.
+ * If the objective is cache hits, recomputation weighs more.  The server with
+ * the highest rendezvous weight gets a discount while it holds nothing of the
+ * prompt, so that daemons without cache information choose the same one. */
 
-#define WASTE_WEIGHT_TAIL 1.0
-#define WASTE_WEIGHT_HITS 3.0
-#define HOME_TRUST 0.5
-#define OTHER_DC_MS 1.0
-#define SERVICE_LEAST_MS 10.0
+#define RECOMPUTE_WEIGHT_TAIL 1.0
+#define RECOMPUTE_WEIGHT_HITS 3.0
+#define PREFERRED_COST_RATIO 0.5
+#define REMOTE_DC_COST_MS 1.0
+#define SERVICE_MIN_MS 10.0
 #define FACTOR_MAX 12.0
-#define CANDIDATES_SORTED 256
+#define CANDIDATES_SORTED_MAX 256
 
 static size_t
-home_of(const candidate_t *all, size_t count)
+find_preferred(const candidate_t *candidates, size_t count)
 {
-    size_t home = 0;
+    size_t preferred = 0;
     for (size_t i = 1; i < count; i++) {
-        if (all[i].rendezvous_weight > all[home].rendezvous_weight) {
-            home = i;
+        if (candidates[i].rendezvous_weight >
+            candidates[preferred].rendezvous_weight) {
+            preferred = i;
         }
     }
-    return home;
+    return preferred;
 }
 
 static int
@@ -39,48 +40,53 @@
     return (x > y) - (x < y);
 }
 
-/* 1/(1 - utilisation), from the median wait, so that one server that is
- * crowded by a hot prefix does not keep others from sharing it. */
+/* Estimates 1/(1 - utilisation).  Uses the median wait, so that one server
+ * overloaded by a popular prefix does not keep the prefix from being cached by
+ * others. */
 static double
-crowd_factor(const candidate_t *all, size_t count, const prefix_t *prefix)
+utilisation_factor(const candidate_t *candidates, size_t count,
+                   const prefix_t *prefix)
 {
-    double waits[CANDIDATES_SORTED];
-    double service = 1e9;
-    size_t taken = count < CANDIDATES_SORTED ? count : CANDIDATES_SORTED;
-    for (size_t i = 0; i < taken; i++) {
-        double recompute = place_prefill_ms(&all[i], prefix);
-        waits[i] = all[i].wait_ms;
-        service = recompute < service ? recompute : service;
+    double waits[CANDIDATES_SORTED_MAX];
+    double service_ms = 1e9;
+    size_t sampled =
+        count < CANDIDATES_SORTED_MAX ? count : CANDIDATES_SORTED_MAX;
+    for (size_t i = 0; i < sampled; i++) {
+        double prefill_ms = place_prefill_ms(&candidates[i], prefix);
+        waits[i] = candidates[i].wait_ms;
+        service_ms = prefill_ms < service_ms ? prefill_ms : service_ms;
     }
-    service = service < SERVICE_LEAST_MS ? SERVICE_LEAST_MS : service;
-    qsort(waits, taken, sizeof(double), compare_waits);
-    double factor = 1.0 + waits[(taken - 1) / 2] / service;
+    service_ms = service_ms < SERVICE_MIN_MS ? SERVICE_MIN_MS : service_ms;
+    qsort(waits, sampled, sizeof(double), compare_waits);
+    double factor = 1.0 + waits[(sampled - 1) / 2] / service_ms;
     return factor > FACTOR_MAX ? FACTOR_MAX : factor;
 }
 
 static double
-cost_of(const candidate_t *candidate, const place_query_t *ask, bool is_home,
-        double factor)
+estimate_cost(const candidate_t *candidate, const place_query_t *query,
+              bool is_preferred, double factor)
 {
-    double weight = ask->objective == OBJECTIVE_HITS ? WASTE_WEIGHT_HITS
-                                                     : WASTE_WEIGHT_TAIL;
-    double recompute = place_prefill_ms(candidate, ask->prefix);
-    if (is_home && candidate->cached_tokens == 0) {
-        recompute *= HOME_TRUST;
+    double weight = query->objective == OBJECTIVE_HITS ? RECOMPUTE_WEIGHT_HITS
+                                                       : RECOMPUTE_WEIGHT_TAIL;
+    double prefill_ms = place_prefill_ms(candidate, query->prefix);
+    if (is_preferred && candidate->cached_tokens == 0) {
+        prefill_ms *= PREFERRED_COST_RATIO;
     }
-    return candidate->wait_ms + weight * factor * recompute +
-           (candidate->same_dc ? 0 : OTHER_DC_MS);
+    return candidate->wait_ms + weight * factor * prefill_ms +
+           (candidate->same_dc ? 0 : REMOTE_DC_COST_MS);
 }
 
 static size_t
-choose(const candidate_t *all, size_t count, const place_query_t *ask)
+choose(const candidate_t *candidates, size_t count, const place_query_t *query)
 {
-    size_t home = home_of(all, count);
-    size_t best = home;
-    double factor = crowd_factor(all, count, ask->prefix);
-    double best_cost = cost_of(&all[home], ask, true, factor);
+    size_t preferred = find_preferred(candidates, count);
+    size_t best = preferred;
+    double factor = utilisation_factor(candidates, count, query->prefix);
+    double best_cost =
+        estimate_cost(&candidates[preferred], query, true, factor);
     for (size_t i = 0; i < count; i++) {
-        double cost = cost_of(&all[i], ask, i == home, factor);
+        double cost =
+            estimate_cost(&candidates[i], query, i == preferred, factor);
         if (cost < best_cost) {
             best = i;
             best_cost = cost;
@@ -90,7 +96,7 @@
 }
 
 static policy_t policy = {.name = "cost",
-                          .about = "least wait plus recomputation",
+                          .about = "lowest wait plus recomputation",
                           .choose = choose};
 
 __attribute__((constructor)) static void
--- a/plugins/policy-least-loaded.c
+++ b/plugins/policy-least-loaded.c
@@ -1,15 +1,15 @@
 #include "../kernel/tables.h"
 
-/* Baseline: the shortest expected wait, whatever it holds; equal waits go by
- * the fewest running, then in turn. */
+/* Baseline: the shortest expected wait, regardless of cached prefixes.  Ties
+ * are broken by the fewest running requests, then round robin. */
 static size_t
-choose(const candidate_t *all, size_t count, const place_query_t *ask)
+choose(const candidate_t *candidates, size_t count, const place_query_t *query)
 {
-    size_t best = ask->placement_count % count;
+    size_t best = query->placement_count % count;
     for (size_t i = 0; i < count; i++) {
-        if (all[i].wait_ms < all[best].wait_ms ||
-            (all[i].wait_ms <= all[best].wait_ms &&
-             all[i].running < all[best].running)) {
+        if (candidates[i].wait_ms < candidates[best].wait_ms ||
+            (candidates[i].wait_ms <= candidates[best].wait_ms &&
+             candidates[i].running < candidates[best].running)) {
             best = i;
         }
     }
--- a/plugins/policy-round-robin.c
+++ b/plugins/policy-round-robin.c
@@ -1,11 +1,11 @@
 #include "../kernel/tables.h"
 
-/* Baseline: each candidate in turn, whatever it holds. */
+/* Baseline: each candidate in turn, regardless of cached prefixes. */
 static size_t
-choose(const candidate_t *all, size_t count, const place_query_t *ask)
+choose(const candidate_t *candidates, size_t count, const place_query_t *query)
 {
-    (void)all;
-    return ask->placement_count % count;
+    (void)candidates;
+    return query->placement_count % count;
 }
 
 static policy_t policy = {.name = "round-robin",
