--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -151,7 +151,7 @@
         node->since_ms = now_ms;
     }
     node->member = *record;
-    node->member.health_changed_ms = now_ms;
+    node->member.updated_ms = now_ms;
     node->verified = 0;
     node->news_left = members_news_times(members);
     return anew;
--- a/kernel/members-round.c
+++ b/kernel/members-round.c
@@ -25,7 +25,7 @@
            int64_t now_ms)
 {
     node->member.health = health;
-    node->member.health_changed_ms = now_ms;
+    node->member.updated_ms = now_ms;
     node->verified = 0;
     node->news_left = members_news_times(members);
 }
@@ -37,7 +37,7 @@
 judge_suspect(members_t *members, member_node_t *node, int64_t now_ms,
               member_outbox_t *out)
 {
-    int64_t age = now_ms - node->member.health_changed_ms;
+    int64_t age = now_ms - node->member.updated_ms;
     int64_t limit = suspect_ms(members);
     if (age > limit) {
         set_health(members, node, MEMBER_DEAD, now_ms);
@@ -55,7 +55,7 @@
     member_node_t *node;
     member_node_t *next;
     CK_LIST_FOREACH_SAFE (node, &members->list, entry, next) {
-        int64_t age = now_ms - node->member.health_changed_ms;
+        int64_t age = now_ms - node->member.updated_ms;
         if (node->member.health == MEMBER_SUSPECT) {
             judge_suspect(members, node, now_ms, out);
         }
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -236,7 +236,7 @@
     member_intent_t intent;
     member_health_t health;
     int64_t config_generation; /* last known generation of its configuration */
-    int64_t health_changed_ms; /* when this daemon last changed its health */
+    int64_t updated_ms;        /* when this daemon last changed its health */
 } member_t;
 
 #define MEMBER_RECORDS_MAX 12
