--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -120,7 +120,7 @@
     double prefill_rate; /* tokens per second */
     int running;
     uint32_t cached_tokens;     /* prompt tokens believed to be in its cache */
-    uint64_t rendezvous_weight; /* the highest of all: preferred server */
+    uint64_t rendezvous_weight; /* the highest marks the preferred server */
     bool same_dc;
 } candidate_t;
 
@@ -193,7 +193,7 @@
 /* ---- retry budget ---- */
 
 typedef struct {
-    uint64_t thousandths; /* thousandths of a retry; changed atomically */
+    uint64_t thousandths; /* retries left, in 1/1000; changed atomically */
 } retry_budget_t;
 
 void retry_budget_init(retry_budget_t *budget);
@@ -236,7 +236,7 @@
     member_intent_t intent;
     member_health_t health;
     int64_t config_generation; /* last known generation of its configuration */
-    int64_t updated_ms;        /* when this daemon last changed its health */
+    int64_t updated_ms; /* when this daemon last set its record or health */
 } member_t;
 
 #define MEMBER_RECORDS_MAX 12
