--- a/kernel/route.c
+++ b/kernel/route.c
@@ -30,7 +30,7 @@
         http_req_reply_header(req, OUTCOME_HEADER,
                               outcome_word(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 401, "no_workspace",
-                             "a workspace's bearer key is required");
+                             "a workspace's bearer key is needed");
     }
     else if (call_deadline_span(req) < 0) {
         http_req_reply_header(req, OUTCOME_HEADER,
@@ -165,7 +165,7 @@
     }
     if (path_exists) {
         http_req_reply_error(req, 405, "bad_method",
-                             "method %s is not allowed on this path",
+                             "this path does not take %s",
                              http_req_method(req));
         return;
     }
--- a/plugins/policy-cost.c
+++ b/plugins/policy-cost.c
@@ -96,7 +96,7 @@
 }
 
 static policy_t policy = {.name = "cost",
-                          .about = "lowest wait plus recomputation",
+                          .about = "least wait plus recomputation",
                           .choose = choose};
 
 __attribute__((constructor)) static void
--- a/plugins/policy-first-level.c
+++ b/plugins/policy-first-level.c
@@ -19,7 +19,7 @@
 }
 
 static policy_t policy = {.name = "first-level",
-                          .about = "rendezvous hashing of the first level",
+                          .about = "rendezvous home of the first level",
                           .choose = choose};
 
 __attribute__((constructor)) static void
