--- a/daemons/celeryspoolctl.c
+++ b/daemons/celeryspoolctl.c
@@ -96,7 +96,8 @@
                         .total_ms = TIMEOUT_MS};
     call.headers[0] = buf_text(&header);
     call.headers[1] = "Content-Type: application/json";
-    if (text == NULL || http_fetch(&call, status, &reply) != HTTP_END_WHOLE) {
+    if (text == NULL ||
+        http_fetch(&call, status, &reply) != HTTP_END_COMPLETE) {
         return NULL;
     }
     return json_loadb(buf_text(&reply), reply.len, 0, NULL);
--- a/daemons/celeryspoold.c
+++ b/daemons/celeryspoold.c
@@ -91,7 +91,7 @@
             daemon_leave(daemon);
         }
         if (!closed && time_mono_ms() >= door) {
-            http_server_quiesce(daemon->server);
+            http_server_drain(daemon->server);
             closed = true;
         }
     }
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -322,7 +322,8 @@
     seq_t *seq;
     seq_t *next;
     CK_LIST_FOREACH_SAFE (seq, &engine->seqs, entry, next) {
-        if (seq->req != NULL && !seq->muted && http_req_gone(seq->req)) {
+        if (seq->req != NULL && !seq->muted &&
+            http_req_is_disconnected(seq->req)) {
             http_req_release(seq->req);
             seq->req = NULL;
         }
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -45,7 +45,7 @@
     (void)json_object_set_new(service->effects, key, json_integer(count));
     if (service->cut_after > 0) {
         service->cut_after--;
-        http_req_cut(req);
+        http_req_abort(req);
         return;
     }
     CLEAN_JSON json_t *reply =
@@ -58,7 +58,7 @@
 {
     if (service->cut_before > 0) {
         service->cut_before--;
-        http_req_cut(req);
+        http_req_abort(req);
         return;
     }
     if (service->delay_ms == 0) {
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -174,7 +174,7 @@
     wake_watchers(store, name);
     if (store->lose_answers > 0) {
         store->lose_answers--;
-        http_req_cut(req);
+        http_req_abort(req);
         return;
     }
     CLEAN_JSON json_t *reply =
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -283,7 +283,7 @@
     if (end == HTTP_END_UNSENT) {
         return LOAD_NOT_RUN;
     }
-    if (end == HTTP_END_WHOLE && status == 200) {
+    if (end == HTTP_END_COMPLETE && status == 200) {
         bool whole = run->done_mark || run->client->opts.whole;
         if (run->key[0] != '\0') {
             return LOAD_DONE;
@@ -301,9 +301,9 @@
 {
     chat_run_t *run = arg;
     const load_opts_t *opts = &run->client->opts;
-    bool cut = end != HTTP_END_WHOLE && end != HTTP_END_CANCELLED;
+    bool cut = end != HTTP_END_COMPLETE && end != HTTP_END_CANCELLED;
     bool chat = run->key[0] == '\0';
-    if (opts->whole && chat && end == HTTP_END_WHOLE && status == 200) {
+    if (opts->whole && chat && end == HTTP_END_COMPLETE && status == 200) {
         take_whole(run);
     }
     if (cut && chat && !run->done_mark && run->resumes < opts->resumes_max &&
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -127,7 +127,7 @@
 {
     CLEAN_JSON json_t *reply =
         json_loadb(buf_text(&probe->body), probe->body.len, 0, NULL);
-    bool told = end == HTTP_END_WHOLE && status == 200;
+    bool told = end == HTTP_END_COMPLETE && status == 200;
     if (told && (json_int(reply, "emitted", 0) > call->u.chat.emitted ||
                  json_flag(reply, "done"))) {
         call_event(call, "line-silent", NULL);
@@ -142,7 +142,7 @@
         return;
     }
     call->probe_failures++;
-    bool unknown_there = end == HTTP_END_WHOLE;
+    bool unknown_there = end == HTTP_END_COMPLETE;
     /* Each probe without an answer counts, so that a few streams on a frozen
      * server open its circuit before more requests are sent there. */
     if (!unknown_there) {
@@ -187,7 +187,7 @@
                        .url = url,
                        .connect_ms = PROBE_MS,
                        .total_ms = PROBE_MS,
-                       .fresh = true,
+                       .new_connection = true,
                        .on_data = probe_on_data,
                        .on_end = probe_on_end,
                        .arg = probe};
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -124,7 +124,7 @@
 {
     const service_call_t *service = &call->u.service;
     call_uncount(call);
-    if (end == HTTP_END_WHOLE) {
+    if (end == HTTP_END_COMPLETE) {
         view_succeeded(call->daemon->view, call->backend_id);
         service_record(call, CLAIM_OP_DONE, status);
         if (service->overflow) {
@@ -180,7 +180,7 @@
                        .url = buf_text(&url),
                        .connect_ms = CONNECT_MS,
                        .total_ms = (int)(left < 1 ? 1 : left),
-                       .fresh = !service->idempotent,
+                       .new_connection = !service->idempotent,
                        .on_header = on_header,
                        .on_data = on_data,
                        .on_end = on_end,
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -226,7 +226,7 @@
         return;
     }
     chat_take(call, data, len);
-    if (http_req_gone(call->req) ||
+    if (http_req_is_disconnected(call->req) ||
         http_req_backlog(call->req) > BACKLOG_MAX) {
         call_event(call, "caller-gone", NULL);
         http_client_cancel(call->daemon->client, call->xfer);
@@ -289,7 +289,7 @@
 static void
 leg_broke(call_t *call, leg_t *leg, http_end_t end, int status)
 {
-    bool answered = end == HTTP_END_WHOLE;
+    bool answered = end == HTTP_END_COMPLETE;
     if (answered && is_client_error(status)) {
         call_fail(call, status, "refused_by_engine", OUTCOME_NOT_RUN,
                   buf_text(&leg->error));
@@ -309,7 +309,7 @@
                                       : "cut");
     call_uncount(call);
     bool resumable =
-        !leg->resume && !leg->wrong && end == HTTP_END_CUT && call->started;
+        !leg->resume && !leg->wrong && end == HTTP_END_BROKEN && call->started;
     chat_recover(call, resumable);
 }
 
@@ -377,7 +377,7 @@
                        .body = body,
                        .body_len = body == NULL ? 0 : strlen(body),
                        .connect_ms = CONNECT_MS,
-                       .fresh = leg->resume,
+                       .new_connection = leg->resume,
                        .on_header = on_header,
                        .on_data = on_data,
                        .on_end = on_end,
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -291,7 +291,7 @@
 void
 daemon_stop(celeryspoold_t *daemon)
 {
-    http_server_quiesce(daemon->server);
+    http_server_drain(daemon->server);
     __atomic_store_n(&daemon->stopping, true, __ATOMIC_RELEASE);
     (void)pthread_join(daemon->ticker, NULL);
     (void)pthread_join(daemon->feeder, NULL);
--- a/kernel/exchange.c
+++ b/kernel/exchange.c
@@ -150,7 +150,7 @@
 }
 
 uint64_t
-exchanges_opened(const exchanges_t *exchanges)
+exchanges_connections_opened(const exchanges_t *exchanges)
 {
     return exchanges->opened;
 }
@@ -179,7 +179,7 @@
 /* Close what is kept to an address whose server is gone: the address may be
  * given to a server of another service. */
 void
-exchanges_drop(exchanges_t *exchanges, const char *addr)
+exchanges_close_idle(exchanges_t *exchanges, const char *addr)
 {
     addr_pool_t *pool = pool_find(exchanges, addr);
     if (pool == NULL) {
@@ -290,7 +290,7 @@
     upconn_t *conn = exchange->conn;
     conn_keep(conn);
     exchange->conn = NULL;
-    exchange_end(exchange, EXCHANGE_WHOLE);
+    exchange_end(exchange, EXCHANGE_COMPLETE);
 }
 
 /* Go on with what has come; false once the exchange is over or must wait. */
@@ -302,8 +302,8 @@
         exchange_cancel(exchange);
         return false;
     }
-    if (state == READER_BAD) {
-        exchange_end(exchange, EXCHANGE_GARBLED);
+    if (state == READER_INVALID) {
+        exchange_end(exchange, EXCHANGE_MALFORMED);
         return false;
     }
     if (state == READER_HEAD) {
@@ -406,7 +406,7 @@
         return;
     }
     if ((what & BEV_EVENT_EOF) != 0 &&
-        http_reader_eof(&exchange->reader) == READER_WHOLE) {
+        http_reader_eof(&exchange->reader) == READER_COMPLETE) {
         if (exchange->skipping) {
             exchange_end(exchange, EXCHANGE_NO_ANSWER);
             return;
@@ -506,7 +506,7 @@
 /* Start an exchange.  No hook is called before this returns; an address that
  * cannot be used ends as unsent from the loop. */
 exchange_t *
-exchange_start(exchanges_t *exchanges, const exchange_ask_t *ask,
+exchange_start(exchanges_t *exchanges, const exchange_request_t *ask,
                const exchange_hooks_t *hooks)
 {
     addr_pool_t *pool = pool_get(exchanges, ask->addr);
@@ -516,12 +516,12 @@
     exchange->timer = evtimer_new(exchanges->base, on_timer, exchange);
     http_reader_init(&exchange->reader, true, ANSWER_HEAD_MAX, on_body,
                      exchange);
-    exchange->reader.bodiless = ask->bodiless;
+    exchange->reader.no_body = ask->no_response_body;
     buf_add(&exchange->out, ask->head, ask->head_len);
     if (ask->body_len > 0) {
         buf_add(&exchange->out, ask->body, ask->body_len);
     }
-    upconn_t *conn = ask->fresh ? NULL : conn_take_kept(pool);
+    upconn_t *conn = ask->new_connection ? NULL : conn_take_kept(pool);
     bool kept = conn != NULL;
     if (!kept) {
         conn = conn_open(pool);
@@ -560,7 +560,7 @@
 }
 
 bool
-exchange_sent(const exchange_t *exchange)
+exchange_has_sent(const exchange_t *exchange)
 {
     return exchange->sent;
 }
--- a/kernel/exchange.h
+++ b/kernel/exchange.h
@@ -14,17 +14,17 @@
 typedef struct exchange exchange_t;
 
 typedef enum {
-    EXCHANGE_WHOLE,     /* the whole answer was read */
+    EXCHANGE_COMPLETE,  /* the whole answer was read */
     EXCHANGE_UNSENT,    /* no connection came about; nothing has left */
     EXCHANGE_NO_ANSWER, /* it broke before an answer began */
     EXCHANGE_BROKEN,    /* it broke within the answer */
-    EXCHANGE_GARBLED,   /* what came is no answer in the protocol */
+    EXCHANGE_MALFORMED, /* what came is no answer in the protocol */
     EXCHANGE_TIMEOUT    /* the time of the exchange was up */
 } exchange_end_t;
 
 typedef enum {
-    HEAD_TAKE, /* the body goes to the owner */
-    HEAD_SKIP  /* an answer to something else: drop it, await the next */
+    HEAD_ACCEPT, /* the body goes to the owner */
+    HEAD_SKIP    /* an answer to something else: drop it, await the next */
 } head_verdict_t;
 
 typedef struct {
@@ -43,20 +43,22 @@
     size_t head_len;
     const void *body;
     size_t body_len;
-    bool bodiless;  /* the answer has no body: HEAD */
-    bool fresh;     /* over a new connection, which can't have died unseen */
-    int connect_ms; /* a connection that takes longer is given up */
-    int total_ms;   /* 0: the owner has a timer of its own */
-} exchange_ask_t;
+    bool no_response_body; /* the answer has no body: HEAD */
+    bool new_connection; /* over a new connection, which can't have died unseen
+                          */
+    int connect_ms;      /* a connection that takes longer is given up */
+    int total_ms;        /* 0: the owner has a timer of its own */
+} exchange_request_t;
 
 exchanges_t *exchanges_new(struct event_base *base);
 void exchanges_free(exchanges_t *exchanges);
 void exchanges_sweep(exchanges_t *exchanges);
-void exchanges_drop(exchanges_t *exchanges, const char *addr);
-uint64_t exchanges_opened(const exchanges_t *exchanges);
-exchange_t *exchange_start(exchanges_t *exchanges, const exchange_ask_t *ask,
+void exchanges_close_idle(exchanges_t *exchanges, const char *addr);
+uint64_t exchanges_connections_opened(const exchanges_t *exchanges);
+exchange_t *exchange_start(exchanges_t *exchanges,
+                           const exchange_request_t *ask,
                            const exchange_hooks_t *hooks);
 void exchange_cancel(exchange_t *exchange);
-bool exchange_sent(const exchange_t *exchange);
+bool exchange_has_sent(const exchange_t *exchange);
 
 #endif
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -144,7 +144,7 @@
 on_end(void *arg, http_end_t end, int status)
 {
     feed_t *feed = arg;
-    if (end == HTTP_END_WHOLE && status == 200) {
+    if (end == HTTP_END_COMPLETE && status == 200) {
         CLEAN_JSON json_t *body =
             json_loadb(buf_text(&feed->body), feed->body.len, 0, NULL);
         if (feed->events) {
--- a/kernel/fetch.c
+++ b/kernel/fetch.c
@@ -19,7 +19,7 @@
 {
     fetch_t *fetch = arg;
     fetch->status = head->status;
-    return HEAD_TAKE;
+    return HEAD_ACCEPT;
 }
 
 static void
@@ -35,7 +35,7 @@
 on_end(void *arg, exchange_end_t end)
 {
     fetch_t *fetch = arg;
-    fetch_result_t result = {.whole = end == EXCHANGE_WHOLE,
+    fetch_result_t result = {.whole = end == EXCHANGE_COMPLETE,
                              .sent = end != EXCHANGE_UNSENT,
                              .status = fetch->status,
                              .text = buf_text(&fetch->answer),
@@ -51,11 +51,11 @@
 {
     fetch_t *fetch = mem_zalloc(sizeof(*fetch));
     exchange_hooks_t hooks = {on_head, on_body, on_end, fetch};
-    exchange_ask_t call = {.addr = ask->addr,
-                           .head = ask->call->data,
-                           .head_len = ask->call->len,
-                           .connect_ms = ask->connect_ms,
-                           .total_ms = ask->total_ms};
+    exchange_request_t call = {.addr = ask->addr,
+                               .head = ask->call->data,
+                               .head_len = ask->call->len,
+                               .connect_ms = ask->connect_ms,
+                               .total_ms = ask->total_ms};
     fetch->on_done = ask->on_done;
     fetch->arg = ask->arg;
     fetch->exchange = exchange_start(exchanges, &call, &hooks);
--- a/kernel/http-client.c
+++ b/kernel/http-client.c
@@ -62,7 +62,8 @@
 has_header(const http_call_t *call, const char *name)
 {
     size_t len = strlen(name);
-    for (int i = 0; i < HTTP_HEADERS_MAX && call->headers[i] != NULL; i++) {
+    for (int i = 0; i < HTTP_CALL_HEADERS_MAX && call->headers[i] != NULL;
+         i++) {
         if (strncasecmp(call->headers[i], name, len) == 0 &&
             call->headers[i][len] == ':') {
             return true;
@@ -87,7 +88,8 @@
     }
     buf_fmt(&xfer->head, "%s %s%s HTTP/1.1\r\nHost: %s\r\n", call->method,
             target[0] == '/' ? "" : "/", target, xfer->addr);
-    for (int i = 0; i < HTTP_HEADERS_MAX && call->headers[i] != NULL; i++) {
+    for (int i = 0; i < HTTP_CALL_HEADERS_MAX && call->headers[i] != NULL;
+         i++) {
         buf_fmt(&xfer->head, "%s\r\n", call->headers[i]);
     }
     if (call->body != NULL || strcmp(call->method, "GET") != 0) {
@@ -141,7 +143,7 @@
          i++) {
         show_header(xfer, head, &head->headers[i]);
     }
-    return HEAD_TAKE;
+    return HEAD_ACCEPT;
 }
 
 static void
@@ -174,8 +176,8 @@
     xfer_t *xfer = arg;
     xfer->exchange = NULL;
     switch (end) {
-        case EXCHANGE_WHOLE:
-            xfer_finish(xfer, HTTP_END_WHOLE);
+        case EXCHANGE_COMPLETE:
+            xfer_finish(xfer, HTTP_END_COMPLETE);
             return;
         case EXCHANGE_UNSENT:
             xfer_finish(xfer, HTTP_END_UNSENT);
@@ -185,8 +187,8 @@
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
-        case EXCHANGE_GARBLED:
-            xfer_finish(xfer, HTTP_END_CUT);
+        case EXCHANGE_MALFORMED:
+            xfer_finish(xfer, HTTP_END_BROKEN);
             return;
     }
 }
@@ -196,17 +198,17 @@
 {
     const http_call_t *call = &xfer->call;
     exchange_hooks_t hooks = {on_head, on_body, on_end, xfer};
-    exchange_ask_t ask = {.addr = xfer->addr,
-                          .head = xfer->head.data,
-                          .head_len = xfer->head.len,
-                          .body = xfer->body,
-                          .body_len = call->body_len,
-                          .bodiless = strcmp(call->method, "HEAD") == 0,
-                          .fresh = call->fresh,
-                          .connect_ms = call->connect_ms > 0
-                                            ? call->connect_ms
-                                            : CONNECT_MS_DEFAULT,
-                          .total_ms = call->total_ms};
+    exchange_request_t ask = {
+        .addr = xfer->addr,
+        .head = xfer->head.data,
+        .head_len = xfer->head.len,
+        .body = xfer->body,
+        .body_len = call->body_len,
+        .no_response_body = strcmp(call->method, "HEAD") == 0,
+        .new_connection = call->new_connection,
+        .connect_ms =
+            call->connect_ms > 0 ? call->connect_ms : CONNECT_MS_DEFAULT,
+        .total_ms = call->total_ms};
     xfer->exchange = exchange_start(exchanges, &ask, &hooks);
 }
 
@@ -283,7 +285,7 @@
     worker_t *worker = arg;
     start_new(worker);
     cancel_asked(worker);
-    if (loop_stopping(&worker->loop)) {
+    if (loop_is_stopping(&worker->loop)) {
         cancel_all(worker);
     }
 }
--- a/kernel/http-door.c
+++ b/kernel/http-listener.c
@@ -1,4 +1,4 @@
-#include "http-door.h"
+#include "http-listener.h"
 
 #include <ck_queue.h>
 #include <errno.h>
@@ -36,7 +36,7 @@
 
 struct caller {
     CK_LIST_ENTRY(caller) entry;
-    http_door_t *door;
+    http_listener_t *door;
     struct bufferevent *bev;
     http_reader_t reader;
     buf_t body;
@@ -50,10 +50,10 @@
 
 typedef CK_LIST_HEAD(caller_list, caller) caller_list_t;
 
-struct http_door {
+struct http_listener {
     struct event_base *base;
     struct evconnlistener *listener; /* NULL once it takes no one in */
-    door_hooks_t hooks;
+    http_listener_hooks_t hooks;
     size_t callers_max;
     caller_list_t callers;
     size_t caller_count; /* read by other threads too */
@@ -62,8 +62,8 @@
 
 static void caller_step(caller_t *caller);
 
-static edge_limits_t
-limits_of(const http_door_t *door)
+static http_limits_t
+limits_of(const http_listener_t *door)
 {
     return door->hooks.limits(door->hooks.arg);
 }
@@ -71,9 +71,9 @@
 static void
 caller_free(caller_t *caller)
 {
-    http_door_t *door = caller->door;
+    http_listener_t *door = caller->door;
     if (caller->owner != NULL) {
-        door->hooks.on_left(caller->owner);
+        door->hooks.on_disconnect(caller->owner);
     }
     CK_LIST_REMOVE(caller, entry);
     __atomic_sub_fetch(&door->caller_count, 1, __ATOMIC_RELAXED);
@@ -105,7 +105,7 @@
         caller_answer(caller, 408, NULL, "", 0);
         return;
     }
-    if (caller_unwritten(caller) > 0) {
+    if (caller_unsent_bytes(caller) > 0) {
         int64_t idle_ms = limits_of(caller->door).idle_ms;
         caller_timer(caller, idle_ms > 0 ? idle_ms : LINGER_MS);
         return;
@@ -117,7 +117,7 @@
 on_body(void *arg, const char *data, size_t len)
 {
     caller_t *caller = arg;
-    edge_limits_t limits = limits_of(caller->door);
+    http_limits_t limits = limits_of(caller->door);
     if (caller->body.len + len > (size_t)limits.body_bytes) {
         caller->too_long = true;
         return;
@@ -128,11 +128,11 @@
 static void
 answer_unreadable(caller_t *caller, int status, const char *why)
 {
-    const door_hooks_t *hooks = &caller->door->hooks;
+    const http_listener_hooks_t *hooks = &caller->door->hooks;
     log_info("door", "A request was answered %d: %s.", status, why);
     caller->last = true;
-    if (hooks->on_unreadable != NULL) {
-        hooks->on_unreadable(hooks->arg, caller, status, why);
+    if (hooks->on_bad_request != NULL) {
+        hooks->on_bad_request(hooks->arg, caller, status, why);
         return;
     }
     caller_answer(caller, status, NULL, "", 0);
@@ -157,7 +157,7 @@
 on_head(caller_t *caller)
 {
     const http_head_t *head = &caller->reader.head;
-    edge_limits_t limits = limits_of(caller->door);
+    http_limits_t limits = limits_of(caller->door);
     caller->last = !head->keep_alive;
     if (caller->reader.state == READER_BODY &&
         length_over(caller, (size_t)limits.body_bytes)) {
@@ -173,7 +173,7 @@
 static void
 hand_over(caller_t *caller)
 {
-    const door_hooks_t *hooks = &caller->door->hooks;
+    const http_listener_hooks_t *hooks = &caller->door->hooks;
     caller->state = CALLER_WAITING;
     (void)event_del(caller->timer);
     hooks->on_request(hooks->arg, caller, &caller->reader.head, &caller->body);
@@ -193,8 +193,9 @@
         caller_timer(caller, limits_of(caller->door).head_ms);
     }
     reader_state_t state = http_reader_feed(&caller->reader, in);
-    if (state == READER_BAD) {
-        answer_unreadable(caller, caller->reader.status, caller->reader.why);
+    if (state == READER_INVALID) {
+        answer_unreadable(caller, caller->reader.status,
+                          caller->reader.reason);
         return false;
     }
     if (before == READER_HEAD && state != READER_HEAD) {
@@ -207,7 +208,7 @@
         answer_too_long(caller);
         return false;
     }
-    if (state == READER_WHOLE) {
+    if (state == READER_COMPLETE) {
         hand_over(caller);
         return false;
     }
@@ -256,13 +257,13 @@
 on_written(struct bufferevent *bev, void *arg)
 {
     caller_t *caller = arg;
-    const door_hooks_t *hooks = &caller->door->hooks;
+    const http_listener_hooks_t *hooks = &caller->door->hooks;
     if (caller->state == CALLER_CLOSING) {
         (void)shutdown(bufferevent_getfd(bev), SHUT_WR);
         return;
     }
-    if (caller->owner != NULL && hooks->on_drained != NULL) {
-        hooks->on_drained(caller->owner);
+    if (caller->owner != NULL && hooks->on_flushed != NULL) {
+        hooks->on_flushed(caller->owner);
     }
 }
 
@@ -280,7 +281,7 @@
           struct sockaddr *from, int len, void *arg)
 {
     static const struct timeval unread = {UNREAD_S, 0};
-    http_door_t *door = arg;
+    http_listener_t *door = arg;
     int on = 1;
     (void)listener;
     (void)from;
@@ -292,7 +293,7 @@
         return;
     }
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    edge_limits_t limits = limits_of(door);
+    http_limits_t limits = limits_of(door);
     caller_t *caller = mem_zalloc(sizeof(*caller));
     caller->door = door;
     caller->bev =
@@ -339,13 +340,13 @@
 }
 
 /* Serve callers that come to a listening socket. */
-http_door_t *
-http_door_open(struct event_base *base, const door_ask_t *ask)
+http_listener_t *
+http_listener_open(struct event_base *base, const http_listener_opts_t *ask)
 {
-    http_door_t *door = mem_zalloc(sizeof(*door));
+    http_listener_t *door = mem_zalloc(sizeof(*door));
     door->base = base;
     door->hooks = ask->hooks;
-    door->callers_max = ask->callers_max;
+    door->callers_max = ask->connections_max;
     CK_LIST_INIT(&door->callers);
     door->listener = evconnlistener_new(
         base, on_accept, door, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC,
@@ -355,7 +356,7 @@
 
 /* From now on each answer is the last of its connection. */
 void
-http_door_leave(http_door_t *door)
+http_listener_drain(http_listener_t *door)
 {
     door->leaving = true;
 }
@@ -364,7 +365,7 @@
  * comes now is refused by the host itself, so nothing of its request has run.
  */
 void
-http_door_quiesce(http_door_t *door)
+http_listener_stop_accepting(http_listener_t *door)
 {
     if (door->listener != NULL) {
         evconnlistener_free(door->listener);
@@ -386,11 +387,11 @@
 /* Take no new connection, and close those between two requests.  Called again
  * until all are closed. */
 void
-http_door_shut(http_door_t *door)
+http_listener_close_idle(http_listener_t *door)
 {
     caller_t *caller;
     caller_t *next;
-    http_door_quiesce(door);
+    http_listener_stop_accepting(door);
     CK_LIST_FOREACH_SAFE (caller, &door->callers, entry, next) {
         if (is_quiet(caller)) {
             caller_free(caller);
@@ -400,10 +401,10 @@
 
 /* Cut what is still open and free the door. */
 void
-http_door_free(http_door_t *door)
+http_listener_free(http_listener_t *door)
 {
     caller_t *caller;
-    http_door_quiesce(door);
+    http_listener_stop_accepting(door);
     while ((caller = CK_LIST_FIRST(&door->callers)) != NULL) {
         caller_free(caller);
     }
@@ -412,7 +413,7 @@
 
 /* Connections that are open now; from any thread. */
 size_t
-http_door_callers(const http_door_t *door)
+http_listener_connections(const http_listener_t *door)
 {
     return __atomic_load_n(&door->caller_count, __ATOMIC_RELAXED);
 }
@@ -508,7 +509,7 @@
 /* End an answer that cannot be made whole: the connection closes without the
  * last chunk, so that it does not look complete. */
 void
-caller_break(caller_t *caller)
+caller_abort(caller_t *caller)
 {
     caller->owner = NULL;
     caller->last = true;
@@ -518,14 +519,14 @@
 /* What the connection answers now; its owner is told when the caller leaves.
  */
 void
-caller_serves(caller_t *caller, void *owner)
+caller_set_owner(caller_t *caller, void *owner)
 {
     caller->owner = owner;
 }
 
 /* Bytes that were written and have not left. */
 size_t
-caller_unwritten(const caller_t *caller)
+caller_unsent_bytes(const caller_t *caller)
 {
     return evbuffer_get_length(bufferevent_get_output(caller->bev));
 }
--- a/kernel/http-reader.c
+++ b/kernel/http-reader.c
@@ -18,9 +18,9 @@
 static int
 refuse(http_reader_t *reader, int status, const char *why)
 {
-    reader->state = READER_BAD;
+    reader->state = READER_INVALID;
     reader->status = status;
-    reader->why = why;
+    reader->reason = why;
     return -1;
 }
 
@@ -39,7 +39,7 @@
 {
     http_reader_t *reader = reader_of(parser);
     http_head_t *head = &reader->head;
-    if (head->count == HTTP_HEADERS_KEPT) {
+    if (head->count == HTTP_HEAD_HEADERS_MAX) {
         return refuse(reader, 431, "too many headers");
     }
     if (len == 0 || memchr(at, ' ', len) != NULL) {
@@ -48,7 +48,7 @@
     head->headers[head->count].name = span_of(head, at, len);
     head->headers[head->count].value = span_of(head, at + len, 0);
     head->count++;
-    reader->value_last = false;
+    reader->last_was_value = false;
     return 0;
 }
 
@@ -59,14 +59,14 @@
 {
     http_reader_t *reader = reader_of(parser);
     http_head_t *head = &reader->head;
-    if (reader->value_last) {
+    if (reader->last_was_value) {
         return refuse(reader, 400, "a folded header");
     }
     while (len > 0 && (at[len - 1] == ' ' || at[len - 1] == '\t')) {
         len--;
     }
     head->headers[head->count - 1].value = span_of(head, at, len);
-    reader->value_last = true;
+    reader->last_was_value = true;
     return 0;
 }
 
@@ -79,7 +79,7 @@
     head->status = parser->status_code;
     head->keep_alive = http_should_keep_alive(parser) != 0;
     reader->state = READER_BODY;
-    return reader->bodiless ? 1 : 0;
+    return reader->no_body ? 1 : 0;
 }
 
 static int
@@ -87,14 +87,14 @@
 {
     http_reader_t *reader = reader_of(parser);
     reader->on_body(reader->arg, at, len);
-    return reader->state == READER_BAD ? -1 : 0;
+    return reader->state == READER_INVALID ? -1 : 0;
 }
 
 /* Stop behind the message, so that what follows stays in the buffer. */
 static int
 on_message_complete(http_parser *parser)
 {
-    reader_of(parser)->state = READER_WHOLE;
+    reader_of(parser)->state = READER_COMPLETE;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -130,8 +130,8 @@
     reader->parser.data = reader;
     reader->state = READER_HEAD;
     reader->status = 0;
-    reader->why = NULL;
-    reader->value_last = false;
+    reader->reason = NULL;
+    reader->last_was_value = false;
     reader->head.text.len = 0;
     reader->head.count = 0;
     reader->head.status = 0;
@@ -150,7 +150,7 @@
 {
     enum http_errno error = HTTP_PARSER_ERRNO(&reader->parser);
     if (error != HPE_OK && error != HPE_PAUSED &&
-        reader->state != READER_BAD) {
+        reader->state != READER_INVALID) {
         (void)refuse(reader, 400, http_errno_description(error));
     }
 }
@@ -213,7 +213,7 @@
         /* Empty lines before a message, or a head that did not end here. */
         (void)refuse(reader, 400, "the head is not one message");
     }
-    if (reader->state != READER_BAD && !reader->response) {
+    if (reader->state != READER_INVALID && !reader->response) {
         check_request(reader);
     }
     reader->head.until_close = reader->response &&
@@ -221,7 +221,7 @@
                                http_body_is_final(&reader->parser) == 0 &&
                                reader->parser.content_length == UINT64_MAX &&
                                (reader->parser.flags & F_CHUNKED) == 0;
-    return reader->state != READER_BAD;
+    return reader->state != READER_INVALID;
 }
 
 /* Take what has come.  Stops behind the head (the state is then BODY, or
@@ -270,7 +270,7 @@
 const char *
 http_head_at(const http_head_t *head, span_t span)
 {
-    return head->text.data + span.at;
+    return head->text.data + span.offset;
 }
 
 /* Whether a span is this text, in any case. */
--- a/kernel/http-reader.h
+++ b/kernel/http-reader.h
@@ -11,11 +11,11 @@
 #include <event2/buffer.h>
 #include <http_parser.h>
 
-#define HTTP_HEADERS_KEPT 128
+#define HTTP_HEAD_HEADERS_MAX 128
 
 /* A span of the head's text. */
 typedef struct {
-    uint32_t at;
+    uint32_t offset;
     uint32_t len;
 } span_t;
 
@@ -26,7 +26,7 @@
 
 typedef struct {
     buf_t text; /* the head as it was read */
-    header_t headers[HTTP_HEADERS_KEPT];
+    header_t headers[HTTP_HEAD_HEADERS_MAX];
     unsigned count;
     span_t target; /* of a request: path and query */
     unsigned method;
@@ -38,8 +38,8 @@
 typedef enum {
     READER_HEAD,
     READER_BODY,
-    READER_WHOLE,
-    READER_BAD /* status tells the answer that a request gets */
+    READER_COMPLETE,
+    READER_INVALID /* status tells the answer that a request gets */
 } reader_state_t;
 
 typedef struct http_reader http_reader_t;
@@ -51,11 +51,11 @@
     http_parser parser;
     reader_state_t state;
     bool response;
-    bool bodiless; /* the answer to a HEAD */
-    bool value_last;
+    bool no_body; /* the answer to a HEAD */
+    bool last_was_value;
     size_t head_max;
-    int status;      /* of READER_BAD: 400 or 431 */
-    const char *why; /* of READER_BAD */
+    int status;         /* of READER_INVALID: 400 or 431 */
+    const char *reason; /* of READER_INVALID */
     http_head_t head;
     reader_body_t on_body;
     void *arg;
--- a/kernel/http-server.c
+++ b/kernel/http-server.c
@@ -1,5 +1,5 @@
 #include "http.h"
-#include "http-door.h"
+#include "http-listener.h"
 #include "loop.h"
 #include "url.h"
 
@@ -33,7 +33,7 @@
 typedef struct {
     http_server_t *server;
     loop_t loop;
-    http_door_t *door;
+    http_listener_t *door;
     pthread_mutex_t lock;
     req_queue_t answered; /* requests with something to write */
     bool writing;         /* the loop goes through them */
@@ -140,7 +140,7 @@
 write_whole(http_req_t *req)
 {
     caller_t *caller = req_detach(req);
-    caller_serves(caller, NULL);
+    caller_set_owner(caller, NULL);
     caller_answer(caller, req->status, &req->headers, buf_text(&req->out),
                   req->out.len);
     http_req_release(req);
@@ -155,7 +155,7 @@
         req->begun = true;
         caller_stream_begin(caller, req->status, &req->headers);
     }
-    if (caller_unwritten(caller) >= UNWRITTEN_MAX) {
+    if (caller_unsent_bytes(caller) >= UNWRITTEN_MAX) {
         return false; /* goes on when that has left */
     }
     LOCK_SCOPE(&req->lock);
@@ -169,13 +169,13 @@
 write_end(http_req_t *req, bool whole)
 {
     caller_t *caller = req_detach(req);
-    caller_serves(caller, NULL);
+    caller_set_owner(caller, NULL);
     http_req_release(req);
     if (whole) {
         caller_stream_end(caller);
     }
     else {
-        caller_break(caller);
+        caller_abort(caller);
     }
 }
 
@@ -236,8 +236,8 @@
 {
     worker_t *worker = arg;
     if (__atomic_load_n(&worker->server->closing, __ATOMIC_ACQUIRE)) {
-        http_door_leave(worker->door);
-        http_door_quiesce(worker->door);
+        http_listener_drain(worker->door);
+        http_listener_stop_accepting(worker->door);
     }
     write_answered(worker);
 }
@@ -248,14 +248,14 @@
     req_write(owner);
 }
 
-static edge_limits_t
+static http_limits_t
 limits(void *arg)
 {
     const worker_t *worker = arg;
     const http_server_opts_t *opts = &worker->server->opts;
     unsigned idle_s =
         opts->idle_seconds > 0 ? opts->idle_seconds : IDLE_S_DEFAULT;
-    return (edge_limits_t){HEAD_BYTES, (int)opts->body_max, HEAD_MS,
+    return (http_limits_t){HEAD_BYTES, (int)opts->body_max, HEAD_MS,
                            (int)idle_s * 1000};
 }
 
@@ -288,7 +288,7 @@
 {
     worker_t *worker = arg;
     http_req_t *req = req_new(worker, caller, head, body);
-    caller_serves(caller, req);
+    caller_set_owner(caller, req);
     http_req_hold(req);
     worker->server->opts.handler(req, worker->server->opts.arg);
     http_req_release(req);
@@ -314,20 +314,20 @@
 static void
 worker_open(worker_t *worker, http_server_t *server, evutil_socket_t fd)
 {
-    door_ask_t ask = {
+    http_listener_opts_t ask = {
         .fd = fd,
-        .callers_max = server->opts.connections_max / server->threads,
+        .connections_max = server->opts.connections_max / server->threads,
         .hooks = {.limits = limits,
                   .on_request = on_request,
-                  .on_unreadable = on_unreadable,
-                  .on_left = on_left,
-                  .on_drained = on_drained,
+                  .on_bad_request = on_unreadable,
+                  .on_disconnect = on_left,
+                  .on_flushed = on_drained,
                   .arg = worker}};
     worker->server = server;
     (void)pthread_mutex_init(&worker->lock, NULL);
     CK_STAILQ_INIT(&worker->answered);
     loop_open(&worker->loop, on_wake, worker);
-    worker->door = http_door_open(worker->loop.base, &ask);
+    worker->door = http_listener_open(worker->loop.base, &ask);
 }
 
 /* Start a server on an address of this host. */
@@ -354,7 +354,7 @@
 /* Take no more connections; those that are open are served on, each told to
  * close behind its next answer. */
 void
-http_server_quiesce(http_server_t *server)
+http_server_drain(http_server_t *server)
 {
     __atomic_store_n(&server->closing, true, __ATOMIC_RELEASE);
     for (unsigned i = 0; i < server->threads; i++) {
@@ -368,7 +368,7 @@
 {
     size_t count = 0;
     for (unsigned i = 0; i < server->threads; i++) {
-        count += http_door_callers(server->workers[i].door);
+        count += http_listener_connections(server->workers[i].door);
     }
     return (unsigned)count;
 }
@@ -383,7 +383,7 @@
     for (unsigned i = 0; i < server->threads; i++) {
         worker_t *worker = &server->workers[i];
         loop_join(&worker->loop);
-        http_door_free(worker->door);
+        http_listener_free(worker->door);
         loop_close(&worker->loop);
         (void)pthread_mutex_destroy(&worker->lock);
     }
@@ -457,7 +457,7 @@
     size_t len = req->head.target.len;
     size_t at = 0;
     for (size_t i = 0; i < from && at < len; i++) {
-        at += url_unit(target + at, len - at);
+        at += url_char_len(target + at, len - at);
     }
     buf_add(out, target + at, len - at);
 }
@@ -571,7 +571,7 @@
 
 /* Whether the caller has hung up. */
 bool
-http_req_gone(http_req_t *req)
+http_req_is_disconnected(http_req_t *req)
 {
     LOCK_SCOPE(&req->lock);
     return req->caller == NULL;
@@ -587,7 +587,7 @@
 
 /* Cut the connection without any answer; fakes use it for their faults. */
 void
-http_req_cut(http_req_t *req)
+http_req_abort(http_req_t *req)
 {
     LOCK_SCOPE(&req->lock);
     if (req->reply == REPLY_NONE) {
--- a/kernel/http.h
+++ b/kernel/http.h
@@ -2,8 +2,8 @@
 #define CELERYSPOOL_HTTP_H
 
 /* The HTTP edges for programs with threads: a server whose answers may come
- * later and from any thread, over http-door.h, and a client over exchange.h.
- * No stream holds a thread on either side. */
+ * later and from any thread, over http-listener.h, and a client over
+ * exchange.h. No stream holds a thread on either side. */
 
 #include "base.h"
 
@@ -22,7 +22,7 @@
 } http_server_opts_t;
 
 http_server_t *http_server_start(const http_server_opts_t *opts, err_t *err);
-void http_server_quiesce(http_server_t *server);
+void http_server_drain(http_server_t *server);
 unsigned http_server_connections(http_server_t *server);
 void http_server_stop(http_server_t *server);
 
@@ -49,32 +49,32 @@
 void http_req_stream(http_req_t *req, int status, const char *type);
 void http_req_write(http_req_t *req, const char *data, size_t len);
 void http_req_end(http_req_t *req, bool whole);
-bool http_req_gone(http_req_t *req);
+bool http_req_is_disconnected(http_req_t *req);
 size_t http_req_backlog(http_req_t *req);
-void http_req_cut(http_req_t *req);
+void http_req_abort(http_req_t *req);
 
 typedef struct http_client http_client_t;
 
 /* How an exchange ended. */
 typedef enum {
-    HTTP_END_WHOLE,     /* a status and the whole body were read */
+    HTTP_END_COMPLETE,  /* a status and the whole body were read */
     HTTP_END_UNSENT,    /* no byte of the request left this process */
-    HTTP_END_CUT,       /* it broke after bytes had been sent */
+    HTTP_END_BROKEN,    /* it broke after bytes had been sent */
     HTTP_END_TIMEOUT,   /* its time was up after bytes had been sent */
     HTTP_END_CANCELLED, /* by http_client_cancel */
 } http_end_t;
 
-#define HTTP_HEADERS_MAX 12
+#define HTTP_CALL_HEADERS_MAX 12
 
 typedef struct {
     const char *method;
     const char *url;
-    const char *headers[HTTP_HEADERS_MAX]; /* "Name: value", NULL-ended */
-    const char *body;                      /* copied */
+    const char *headers[HTTP_CALL_HEADERS_MAX]; /* "Name: value", NULL-ended */
+    const char *body;                           /* copied */
     size_t body_len;
     int connect_ms;
-    int total_ms; /* 0 for none */
-    bool fresh;   /* a new connection, never one that was used before */
+    int total_ms;        /* 0 for none */
+    bool new_connection; /* a new connection, never one that was used before */
     void (*on_header)(void *arg, const char *name, const char *value);
     void (*on_data)(void *arg, int status, const char *data, size_t len);
     void (*on_end)(void *arg, http_end_t end, int status);
--- a/kernel/loop.c
+++ b/kernel/loop.c
@@ -12,7 +12,7 @@
     (void)got; /* nothing to read: another wake took it */
     (void)what;
     loop->on_wake(loop->arg);
-    if (loop_stopping(loop)) {
+    if (loop_is_stopping(loop)) {
         (void)event_base_loopbreak(loop->base);
     }
 }
@@ -29,9 +29,9 @@
     loop->on_wake = on_wake;
     loop->arg = arg;
     loop->stopping = false;
-    loop->woken =
+    loop->wake_event =
         event_new(loop->base, loop->fd, EV_READ | EV_PERSIST, on_woken, loop);
-    (void)event_add(loop->woken, NULL);
+    (void)event_add(loop->wake_event, NULL);
 }
 
 static void *
@@ -58,7 +58,7 @@
 }
 
 bool
-loop_stopping(const loop_t *loop)
+loop_is_stopping(const loop_t *loop)
 {
     return __atomic_load_n(&loop->stopping, __ATOMIC_ACQUIRE);
 }
@@ -76,7 +76,7 @@
 void
 loop_close(loop_t *loop)
 {
-    event_free(loop->woken);
+    event_free(loop->wake_event);
     event_base_free(loop->base);
     (void)close(loop->fd);
 }
--- a/kernel/loop.h
+++ b/kernel/loop.h
@@ -10,7 +10,7 @@
 
 typedef struct {
     struct event_base *base;
-    struct event *woken;
+    struct event *wake_event;
     pthread_t thread;
     int fd; /* an eventfd */
     bool stopping;
@@ -23,7 +23,7 @@
 void loop_open(loop_t *loop, void (*on_wake)(void *arg), void *arg);
 void loop_start(loop_t *loop);
 void loop_wake(loop_t *loop);
-bool loop_stopping(const loop_t *loop);
+bool loop_is_stopping(const loop_t *loop);
 void loop_join(loop_t *loop);
 void loop_close(loop_t *loop);
 
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -107,13 +107,13 @@
                         .body_len = strlen(text),
                         .connect_ms = ORDER_TIMEOUT_MS,
                         .total_ms = ORDER_TIMEOUT_MS,
-                        .fresh = true};
+                        .new_connection = true};
     http_end_t end = http_fetch(&call, &status, &reply);
     event_emit(&(event_t){
         .kind = "order", .backend = backend->name, .detail = model->version});
     log_info("order", "%s was told to load %s: %s %d.", backend->name,
-             model->version, end == HTTP_END_WHOLE ? "answered" : "no answer",
-             status);
+             model->version,
+             end == HTTP_END_COMPLETE ? "answered" : "no answer", status);
 }
 
 /* Of the servers that still need the version, in the configuration's order,
--- a/kernel/store.c
+++ b/kernel/store.c
@@ -54,7 +54,7 @@
     if (end == HTTP_END_UNSENT) {
         return STORE_REFUSED;
     }
-    if (end != HTTP_END_WHOLE) {
+    if (end != HTTP_END_COMPLETE) {
         return STORE_LOST;
     }
     switch (status) {
@@ -177,7 +177,7 @@
     url_of(store, name, url);
     http_call_t call = call_of(store, "PUT", url);
     fill_put(&call, match, text, version);
-    call.fresh = true;
+    call.new_connection = true;
     start(store, &call, done, arg);
 }
 
@@ -248,7 +248,8 @@
     int status = 0;
     (void)snprintf(url, sizeof(url), "http://%s/v1/hosts", store->addr);
     http_call_t call = call_of(store, "GET", url);
-    if (http_fetch(&call, &status, &body) != HTTP_END_WHOLE || status != 200) {
+    if (http_fetch(&call, &status, &body) != HTTP_END_COMPLETE ||
+        status != 200) {
         return NULL;
     }
     return json_loadb(buf_text(&body), body.len, 0, NULL);
--- a/kernel/url.c
+++ b/kernel/url.c
@@ -5,7 +5,7 @@
 
 /* The length of the escaped or plain byte that a text begins with. */
 size_t
-url_unit(const char *text, size_t len)
+url_char_len(const char *text, size_t len)
 {
     bool escaped = len > 2 && text[0] == '%' &&
                    isxdigit((unsigned char)text[1]) &&
@@ -20,7 +20,7 @@
     char *out = mem_zalloc(len + 1);
     size_t put = 0;
     for (size_t at = 0; at < len;) {
-        size_t unit = url_unit(text + at, len - at);
+        size_t unit = url_char_len(text + at, len - at);
         char byte = text[at];
         if (unit == 3) {
             const char digits[] = {text[at + 1], text[at + 2], '\0'};
--- a/kernel/url.h
+++ b/kernel/url.h
@@ -5,7 +5,7 @@
 
 #include "base.h"
 
-size_t url_unit(const char *text, size_t len);
+size_t url_char_len(const char *text, size_t len);
 char *url_unescape(const char *text, size_t len, bool plus_is_blank);
 
 #endif
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -120,7 +120,7 @@
                server->info.id, server->info.service, why);
     server->gone = true;
     cache_forget(relay, server);
-    exchanges_drop(relay->exchanges, server->info.addr);
+    exchanges_close_idle(relay->exchanges, server->info.addr);
 }
 
 /* Whether entries may be missing only because the store was away. */
--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -15,22 +15,22 @@
 #define QUESTION_HEAD_MS 3000
 #define QUESTION_IDLE_MS 30000
 
-static edge_limits_t
+static http_limits_t
 callers_limits(void *arg)
 {
     const relay_t *relay = arg;
     if (relay->config != NULL) {
         return relay->config->limits;
     }
-    return (edge_limits_t){HEAD_BYTES_DEFAULT, BODY_BYTES_DEFAULT,
+    return (http_limits_t){HEAD_BYTES_DEFAULT, BODY_BYTES_DEFAULT,
                            HEAD_MS_DEFAULT, IDLE_MS_DEFAULT};
 }
 
-static edge_limits_t
+static http_limits_t
 question_limits(void *arg)
 {
     (void)arg;
-    return (edge_limits_t){QUESTION_HEAD_BYTES, 0, QUESTION_HEAD_MS,
+    return (http_limits_t){QUESTION_HEAD_BYTES, 0, QUESTION_HEAD_MS,
                            QUESTION_IDLE_MS};
 }
 
@@ -84,28 +84,31 @@
     caller_answer(caller, 200, &headers, buf_text(&text), text.len);
 }
 
-static http_door_t *
-open_at(relay_t *relay, const char *addr, const door_hooks_t *hooks,
+static http_listener_t *
+open_at(relay_t *relay, const char *addr, const http_listener_hooks_t *hooks,
         err_t *err)
 {
-    door_ask_t ask = {.fd = http_listen(addr, err), .hooks = *hooks};
+    http_listener_opts_t ask = {.fd = http_listen(addr, err), .hooks = *hooks};
     ask.hooks.arg = relay;
-    return ask.fd < 0 ? NULL : http_door_open(relay->base, &ask);
+    return ask.fd < 0 ? NULL : http_listener_open(relay->base, &ask);
 }
 
 /* Listens for callers, the balancer, other daemons and metrics. */
 int
 listeners_open(relay_t *relay, err_t *err)
 {
-    static const door_hooks_t callers = {.limits = callers_limits,
-                                         .on_request = on_caller_request,
-                                         .on_left = on_caller_left};
-    static const door_hooks_t ready = {.limits = question_limits,
-                                       .on_request = on_ready_request,
-                                       .on_left = on_question_left};
-    static const door_hooks_t metrics = {.limits = question_limits,
-                                         .on_request = on_metrics_request,
-                                         .on_left = object_cache_caller_left};
+    static const http_listener_hooks_t callers = {
+        .limits = callers_limits,
+        .on_request = on_caller_request,
+        .on_disconnect = on_caller_left};
+    static const http_listener_hooks_t ready = {
+        .limits = question_limits,
+        .on_request = on_ready_request,
+        .on_disconnect = on_question_left};
+    static const http_listener_hooks_t metrics = {
+        .limits = question_limits,
+        .on_request = on_metrics_request,
+        .on_disconnect = object_cache_caller_left};
     relay->ready_door = open_at(relay, relay->settings.ready, &ready, err);
     relay->metrics_door =
         open_at(relay, relay->settings.metrics, &metrics, err);
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -232,7 +232,7 @@
     if (status == 0) {
         return;
     }
-    caller_serves(caller, NULL);
+    caller_set_owner(caller, NULL);
     waiter_free(waiter);
     answer(caller, status, page);
 }
@@ -273,7 +273,7 @@
     waiter->timer = evtimer_new(cache->relay->base, on_wait_over, waiter);
     (void)event_add(waiter->timer, &after);
     CK_LIST_INSERT_HEAD(&cache->waiters, waiter, entry);
-    caller_serves(caller, waiter);
+    caller_set_owner(caller, waiter);
 }
 
 /* Answer another daemon's question for objects, as the store would; false if
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -53,7 +53,7 @@
                    (long long)(time_mono_ms() - server->busy_ms));
     }
     server->silent = true;
-    exchanges_drop(relay->exchanges, server->info.addr);
+    exchanges_close_idle(relay->exchanges, server->info.addr);
     requests_abandon(relay, server);
 }
 
--- a/relay/relay-config.h
+++ b/relay/relay-config.h
@@ -5,7 +5,7 @@
  * workspaces by key.  Decoded by platform/config-read.c, never changed once
  * it is in force, counted by reference. */
 
-#include "../kernel/http-door.h"
+#include "../kernel/http-listener.h"
 
 #include <ck_queue.h>
 
@@ -89,7 +89,7 @@
     int64_t version;  /* the operator's count */
     int64_t revision; /* the store's */
     bool keyed;       /* requests carry keys */
-    edge_limits_t limits;
+    http_limits_t limits;
     route_list_t routes[CONFIG_BUCKETS]; /* by host */
     key_list_t keys[CONFIG_BUCKETS];
     relay_services_t services;
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -78,10 +78,11 @@
     meter_text(&relay->meter, out);
     meter_gauge(out, "ready", relay_ready(relay));
     meter_gauge(out, "requests_running", (double)relay->request_count);
-    meter_gauge(out, "callers", (double)http_door_callers(relay->door));
+    meter_gauge(out, "callers",
+                (double)http_listener_connections(relay->door));
     meter_gauge(out, "body_bytes", (double)relay->body_bytes);
     meter_gauge(out, "server_connections_total",
-                (double)exchanges_opened(relay->exchanges));
+                (double)exchanges_connections_opened(relay->exchanges));
     meter_gauge(out, "config_version",
                 relay->config != NULL ? (double)relay->config->version : 0);
     meter_gauge(out, "config_heard_ms_ago",
@@ -109,9 +110,9 @@
     int64_t since = time_mono_ms() - relay->stopping_ms;
     int64_t last = (int64_t)(relay->settings.stop_s * 1000) - END_MARGIN_MS;
     if (relay_shut(relay) || since >= last) {
-        http_door_shut(relay->door);
+        http_listener_close_idle(relay->door);
     }
-    size_t callers = http_door_callers(relay->door);
+    size_t callers = http_listener_connections(relay->door);
     if ((since >= DOOR_MS && callers == 0) || since >= last) {
         log_record(LOG_INFO, "daemon", "stopped",
                    "after_ms=%lld requests_left=%zu callers_left=%zu",
@@ -149,10 +150,10 @@
         return;
     }
     relay->stopping_ms = time_mono_ms();
-    http_door_leave(relay->door);
+    http_listener_drain(relay->door);
     log_record(LOG_INFO, "daemon", "stopping",
                "signal=%d requests=%zu callers=%zu", (int)number,
-               relay->request_count, http_door_callers(relay->door));
+               relay->request_count, http_listener_connections(relay->door));
 }
 
 /* The settings may have changed.  What may change while a process runs is
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -7,7 +7,7 @@
  * add switches and locks and no work done. */
 
 #include "../kernel/exchange.h"
-#include "../kernel/http-door.h"
+#include "../kernel/http-listener.h"
 #include "../kernel/settings.h"
 #include "../kernel/tables.h"
 #include "meter.h"
@@ -67,9 +67,9 @@
     struct event *tick;
     struct event *signals[3];
     exchanges_t *exchanges;
-    http_door_t *door; /* of callers */
-    http_door_t *ready_door;
-    http_door_t *metrics_door;
+    http_listener_t *door; /* of callers */
+    http_listener_t *ready_door;
+    http_listener_t *metrics_door;
     request_list_t requests;
     size_t request_count;
     size_t body_bytes; /* of all requests that are held */
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -289,7 +289,7 @@
     if (id != NULL && !http_head_is(head, id->value, server->info.id)) {
         /* Another server has the address; its own entry tells where. */
         server->misplaced = true;
-        exchanges_drop(request->relay->exchanges, server->info.addr);
+        exchanges_close_idle(request->relay->exchanges, server->info.addr);
         return;
     }
     server->full_ms = now + FULL_PAUSE_MS;
@@ -324,7 +324,7 @@
         case ANSWER_BAD:
             break;
     }
-    return HEAD_TAKE;
+    return HEAD_ACCEPT;
 }
 
 /* The server had the kv store take what the prompt shares. */
@@ -513,7 +513,7 @@
     request_t *request = arg;
     request->exchange = NULL;
     switch (end) {
-        case EXCHANGE_WHOLE:
+        case EXCHANGE_COMPLETE:
             on_whole(request);
             return;
         case EXCHANGE_UNSENT:
@@ -523,7 +523,7 @@
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
-        case EXCHANGE_GARBLED:
+        case EXCHANGE_MALFORMED:
         case EXCHANGE_TIMEOUT:
             break;
     }
@@ -584,13 +584,14 @@
         retry_share_spend(&relay->retries, request->service, request->sent_ms);
     }
     relay->meter.sends++;
-    exchange_ask_t ask = {.addr = server->info.addr,
-                          .head = head.data,
-                          .head_len = head.len,
-                          .body = request->body->data,
-                          .body_len = request->body->len,
-                          .bodiless = request->head->method == HTTP_HEAD,
-                          .connect_ms = CONNECT_MS};
+    exchange_request_t ask = {
+        .addr = server->info.addr,
+        .head = head.data,
+        .head_len = head.len,
+        .body = request->body->data,
+        .body_len = request->body->len,
+        .no_response_body = request->head->method == HTTP_HEAD,
+        .connect_ms = CONNECT_MS};
     request->exchange = exchange_start(relay->exchanges, &ask, &own);
     if (request->sends == 1) {
         request->added_us = time_mono_us() - request->came_us;
--- a/relay/request.c
+++ b/relay/request.c
@@ -143,7 +143,7 @@
                request->id, why, begun ? 0 : status);
     request_end(request, why);
     if (begun) {
-        caller_break(caller);
+        caller_abort(caller);
         return;
     }
     answer_plain(caller, status, 0);
@@ -160,7 +160,7 @@
         server_fault(request->server, SERVER_FAULT_SILENT, time_mono_ms());
     }
     if (request->ran == 0 &&
-        (request->exchange == NULL || !exchange_sent(request->exchange))) {
+        (request->exchange == NULL || !exchange_has_sent(request->exchange))) {
         request_refuse(request, "no-server-in-time", AFTER_NONE_MS);
         return;
     }
@@ -221,7 +221,7 @@
 static void
 abandon_send(request_t *request)
 {
-    bool sent = exchange_sent(request->exchange);
+    bool sent = exchange_has_sent(request->exchange);
     exchange_cancel(request->exchange);
     request->exchange = NULL;
     request->ran += sent ? 1 : 0;
@@ -239,7 +239,7 @@
         if (request->server != server || request->exchange == NULL) {
             continue;
         }
-        bool sent = exchange_sent(request->exchange);
+        bool sent = exchange_has_sent(request->exchange);
         if (sent && !retry_may_repeat(request->route->kind,
                                       request->route->resumable)) {
             continue;
@@ -478,6 +478,6 @@
         return;
     }
     retry_share_earn(&relay->retries, request->service, request->came_ms);
-    caller_serves(caller, request);
+    caller_set_owner(caller, request);
     (void)request_place(request);
 }
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -120,14 +120,14 @@
     seat->ask->status = head->status;
     seat->signed_right = false;
     if (signature == NULL) {
-        return HEAD_TAKE;
+        return HEAD_ACCEPT;
     }
     id_of(seat->owner->soak, seat->ask->number, id, sizeof(id));
     http_head_copy(head, signature->value, text, sizeof(text));
     (void)sscanf(text, "sig.%63[^.]", seat->server);
     (void)snprintf(wanted, sizeof(wanted), "sig.%s.%s", seat->server, id);
     seat->signed_right = strcmp(text, wanted) == 0;
-    return HEAD_TAKE;
+    return HEAD_ACCEPT;
 }
 
 static void
@@ -160,10 +160,10 @@
     const ask_t *ask = seat->ask;
     char id[64];
     id_of(soak, ask->number, id, sizeof(id));
-    if (ask->end == EXCHANGE_GARBLED) {
+    if (ask->end == EXCHANGE_MALFORMED) {
         soak_broken(soak, "answers are in the protocol", "%s", id);
     }
-    if (ask->end == EXCHANGE_WHOLE && ask->status / 100 == 2 &&
+    if (ask->end == EXCHANGE_COMPLETE && ask->status / 100 == 2 &&
         (!seat->signed_right || !body_is_right(seat))) {
         soak_broken(soak, "each caller gets its own whole answer",
                     "%s status %d signed %d: %.80s", id, ask->status,
@@ -265,11 +265,11 @@
     ask->stopped = ask->sent_ms < soak->relays[ask->relay].stopped_ms;
     CLEAN_BUF buf_t head = {0};
     write_request(seat, &head);
-    exchange_ask_t call = {.addr = soak->relays[ask->relay].front_addr,
-                           .head = head.data,
-                           .head_len = head.len,
-                           .connect_ms = 1000,
-                           .total_ms = DEADLINE_MS + 2000};
+    exchange_request_t call = {.addr = soak->relays[ask->relay].front_addr,
+                               .head = head.data,
+                               .head_len = head.len,
+                               .connect_ms = 1000,
+                               .total_ms = DEADLINE_MS + 2000};
     exchange_hooks_t own = hooks;
     own.arg = seat;
     seat->exchange = exchange_start(soak->exchanges, &call, &own);
@@ -409,7 +409,7 @@
     soak_t *soak = callers->soak;
     char id[64];
     id_of(soak, ask->number, id, sizeof(id));
-    bool promised = ask->end == EXCHANGE_WHOLE &&
+    bool promised = ask->end == EXCHANGE_COMPLETE &&
                     (ask->status == 503 || ask->status == 429 ||
                      ask->status == 408 || ask->status == 421);
     if (ask->runs > facts[ask->kind].runs_max) {
@@ -452,7 +452,7 @@
     read_record(callers, by_id);
     CK_STAILQ_FOREACH (ask, &callers->asks, entry) {
         check_runs(callers, ask);
-        bool well = ask->end == EXCHANGE_WHOLE && ask->status == 200;
+        bool well = ask->end == EXCHANGE_COMPLETE && ask->status == 200;
         all_good += well ? 1 : 0;
         if (ask->sent_ms > soak->calm_ms + 6000 &&
             strcmp(ask->key, "old-key") != 0) {
--- a/tests/test-http-edges.c
+++ b/tests/test-http-edges.c
@@ -1,4 +1,4 @@
-#include "../kernel/http-door.h"
+#include "../kernel/http-listener.h"
 #include "../kernel/http.h"
 #include "test.h"
 
@@ -38,7 +38,7 @@
         __atomic_store_n(&held, req, __ATOMIC_RELEASE);
     }
     else if (strcmp(path, "/cut") == 0) {
-        http_req_cut(req);
+        http_req_abort(req);
     }
     else if (strcmp(path, "/broken") == 0) {
         http_req_stream(req, 200, "text/plain");
@@ -179,7 +179,7 @@
                         .body_len = 5,
                         .connect_ms = 1000,
                         .total_ms = 2000};
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_WHOLE);
+    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_COMPLETE);
     ck_assert_int_eq(status, 200);
     ck_assert_str_eq(buf_text(&reply),
                      "POST|/ab c/d|x+y z|me|hello|%20c/d?word=x%2By+z&q=1");
@@ -230,9 +230,9 @@
                         .url = url("/cut"),
                         .connect_ms = 500,
                         .total_ms = 300};
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_CUT);
+    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_BROKEN);
     call.url = url("/broken");
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_CUT);
+    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_BROKEN);
     ck_assert_int_eq(status, 200);
     ck_assert_str_eq(buf_text(&reply), "half");
     call.url = url("/later");
@@ -261,12 +261,12 @@
     }
     time_sleep_ms(100);
     ck_assert_uint_gt(http_req_backlog(req), sizeof(piece));
-    ck_assert(!http_req_gone(req));
+    ck_assert(!http_req_is_disconnected(req));
     (void)close(fd);
-    for (int i = 0; i < 2000 && !http_req_gone(req); i++) {
+    for (int i = 0; i < 2000 && !http_req_is_disconnected(req); i++) {
         time_sleep_ms(1);
     }
-    ck_assert(http_req_gone(req));
+    ck_assert(http_req_is_disconnected(req));
     http_req_release(req);
     http_server_stop(server);
 }
@@ -292,7 +292,7 @@
 {
     seen_t *seen = arg;
     (void)status;
-    seen->whole += end == HTTP_END_WHOLE ? 1 : 0;
+    seen->whole += end == HTTP_END_COMPLETE ? 1 : 0;
     seen->cancelled += end == HTTP_END_CANCELLED ? 1 : 0;
     __atomic_add_fetch(&seen->ends, 1, __ATOMIC_RELEASE);
 }
@@ -363,7 +363,7 @@
     int fd = dial();
     say(fd, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n");
     http_req_t *req = wait_held();
-    http_server_quiesce(server);
+    http_server_drain(server);
     time_sleep_ms(100);
     int other = socket(AF_INET, SOCK_STREAM, 0);
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
--- a/tests/test-http-reader.c
+++ b/tests/test-http-reader.c
@@ -89,7 +89,7 @@
     for (size_t i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
         int status = 0;
         reader_state_t state = read_request(texts[i], &status);
-        ck_assert_msg(state == READER_BAD, "text %zu was taken", i);
+        ck_assert_msg(state == READER_INVALID, "text %zu was taken", i);
         ck_assert_int_eq(status, 400);
     }
 }
@@ -102,7 +102,7 @@
     int len = snprintf(text, sizeof(text), "GET / HTTP/1.1\r\nHost: a\r\nX: ");
     memset(text + len, 'x', sizeof(text) - (size_t)len);
     memcpy(text + sizeof(text) - 5, "\r\n\r\n", 5);
-    ck_assert_int_eq(read_request(text, &status), READER_BAD);
+    ck_assert_int_eq(read_request(text, &status), READER_INVALID);
     ck_assert_int_eq(status, 431);
 }
 END_TEST
@@ -116,11 +116,11 @@
         "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n";
     feed_t feed;
     feed_open(&feed, false);
-    ck_assert_int_eq(feed_bytes(&feed, text, strlen(text)), READER_WHOLE);
+    ck_assert_int_eq(feed_bytes(&feed, text, strlen(text)), READER_COMPLETE);
     ck_assert_str_eq(buf_text(&feed.body), "abcde");
     ck_assert_uint_eq(evbuffer_get_length(feed.in), 28);
     http_reader_next(&feed.reader);
-    ck_assert_int_eq(feed_bytes(&feed, "", 0), READER_WHOLE);
+    ck_assert_int_eq(feed_bytes(&feed, "", 0), READER_COMPLETE);
     ck_assert(http_head_is(&feed.reader.head, feed.reader.head.target, "/b"));
     feed_close(&feed);
 }
@@ -135,11 +135,11 @@
     reader_state_t state = READER_HEAD;
     feed_open(&feed, false);
     for (size_t i = 0; i < sizeof(text) - 1; i++) {
-        ck_assert_int_ne(state, READER_WHOLE);
+        ck_assert_int_ne(state, READER_COMPLETE);
         state = feed_bytes(&feed, text + i, 1);
     }
     const http_head_t *head = &feed.reader.head;
-    ck_assert_int_eq(state, READER_WHOLE);
+    ck_assert_int_eq(state, READER_COMPLETE);
     ck_assert_str_eq(http_head_method(head), "POST");
     ck_assert(http_head_is(head, head->target, "/p?q=1"));
     ck_assert_uint_eq(head->count, 4);
@@ -158,14 +158,14 @@
     feed_open(&feed, true);
     ck_assert_int_eq(feed_bytes(&feed, text, strlen(text)), READER_BODY);
     ck_assert(feed.reader.head.until_close);
-    ck_assert_int_eq(http_reader_eof(&feed.reader), READER_WHOLE);
+    ck_assert_int_eq(http_reader_eof(&feed.reader), READER_COMPLETE);
     feed_close(&feed);
 
     static const char with_length[] =
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart";
     feed_open(&feed, true);
     (void)feed_bytes(&feed, with_length, strlen(with_length));
-    ck_assert_int_ne(http_reader_eof(&feed.reader), READER_WHOLE);
+    ck_assert_int_ne(http_reader_eof(&feed.reader), READER_COMPLETE);
     feed_close(&feed);
 }
 END_TEST
@@ -192,7 +192,7 @@
         while (at < sizeof(text) - 1) {
             size_t step = 1 + (size_t)rng_below(&rng, 20);
             step = step < sizeof(text) - 1 - at ? step : sizeof(text) - 1 - at;
-            if (feed_bytes(&feed, copy + at, step) == READER_BAD) {
+            if (feed_bytes(&feed, copy + at, step) == READER_INVALID) {
                 break;
             }
             at += step;
