--- a/kernel/exchange.c
+++ b/kernel/exchange.c
@@ -10,23 +10,24 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Head of an answer at most, bytes: what common servers send is under 8 KB. */
-#define ANSWER_HEAD_MAX 32768
-/* A kept connection is not used in the last stretch of the time that its
- * server announced, ms: the server's close may already be on its way. */
-#define KEEP_MARGIN_MS 700
-/* Where a server announces no time, ms: shorter than the common default of
- * five seconds. */
-#define KEEP_DEFAULT_MS 3000
-/* Kept connections to one address at most; more only hold descriptors. */
-#define KEEP_MAX 64
-/* A host that lost power or its path answers nothing, and a connection to it
- * hangs for good.  Keep-alive probes show that within about three seconds,
- * which leaves most requests time for another server. */
-#define SILENT_IDLE_S 1
-#define SILENT_PROBE_S 1
-#define SILENT_PROBES 2
-#define SILENT_SEND_MS 2500
+/* Bytes of a response head.  Common servers send less than 8 KB. */
+#define RESPONSE_HEAD_MAX 32768
+/* An idle connection expires this long before the timeout that its server
+ * announced: the server's close may already be in transit. */
+#define KEEP_ALIVE_MARGIN_MS 700
+/* Used if a server announces no keep-alive timeout: shorter than the common
+ * default of five seconds. */
+#define KEEP_ALIVE_DEFAULT_MS 3000
+/* Idle connections per address; more would only use up descriptors. */
+#define IDLE_CONNECTIONS_MAX 64
+/* A host that lost power or its network path sends nothing, and a connection
+ * to it hangs.  TCP keep-alive probes and a limit for unacknowledged data
+ * detect this within about three seconds, which leaves most requests time for
+ * another server. */
+#define PROBE_IDLE_S 1
+#define PROBE_INTERVAL_S 1
+#define PROBES_MAX 2
+#define UNACKED_TIMEOUT_MS 2500
 
 typedef struct addr_pool addr_pool_t;
 
@@ -35,19 +36,19 @@
     CK_LIST_ENTRY(upconn) entry;
     addr_pool_t *pool;
     struct bufferevent *bev;
-    exchange_t *exchange; /* NULL while it is kept */
-    int64_t usable_until_ms;
+    exchange_t *exchange; /* NULL while it is idle */
+    int64_t expires_ms;
 } upconn_t;
 
 typedef CK_LIST_HEAD(upconn_list, upconn) upconn_list_t;
 
-/* The kept connections to one address, the last used first. */
+/* The connections to one address; idle ones are listed most recent first. */
 struct addr_pool {
     CK_LIST_ENTRY(addr_pool) entry;
     exchanges_t *owner;
     char addr[CS_ADDR_MAX];
-    upconn_list_t kept;
-    unsigned kept_count;
+    upconn_list_t idle;
+    unsigned idle_count;
     unsigned busy_count;
 };
 
@@ -64,15 +65,15 @@
     upconn_t *conn;
     exchange_hooks_t hooks;
     http_reader_t reader;
-    buf_t out; /* until the connection stands */
+    buf_t out; /* the request, until the connection is made */
     struct event *timer;
-    int64_t until_ms; /* 0 for none */
+    int64_t deadline_ms; /* 0 for none */
     bool sent;
-    bool in_hook;  /* an owner's hook runs: it may not be freed under it */
-    bool dead;     /* cancelled within a hook */
-    bool looked;   /* the owner has seen the head */
-    bool skipping; /* this answer belongs to something else */
-    int64_t keep_ms;
+    bool in_hook;   /* a hook is running: the exchange must not be freed */
+    bool cancelled; /* within a hook, to be freed after it */
+    bool head_seen; /* on_head was called for this response */
+    bool skipping;  /* the owner rejected this response */
+    int64_t keep_alive_ms;
 };
 
 exchanges_t *
@@ -106,7 +107,7 @@
     pool = mem_zalloc(sizeof(*pool));
     pool->owner = exchanges;
     str_copy(pool->addr, sizeof(pool->addr), addr);
-    CK_LIST_INIT(&pool->kept);
+    CK_LIST_INIT(&pool->idle);
     CK_LIST_INSERT_HEAD(&exchanges->pools, pool, entry);
     return pool;
 }
@@ -116,7 +117,7 @@
 {
     if (conn->exchange == NULL) {
         CK_LIST_REMOVE(conn, entry);
-        conn->pool->kept_count--;
+        conn->pool->idle_count--;
     }
     else {
         conn->pool->busy_count--;
@@ -130,14 +131,14 @@
 {
     upconn_t *conn;
     upconn_t *next;
-    CK_LIST_FOREACH_SAFE (conn, &pool->kept, entry, next) {
+    CK_LIST_FOREACH_SAFE (conn, &pool->idle, entry, next) {
         conn_free(conn);
     }
     CK_LIST_REMOVE(pool, entry);
     free(pool);
 }
 
-/* Running exchanges must have been cancelled before. */
+/* Running exchanges must be cancelled first. */
 void
 exchanges_free(exchanges_t *exchanges)
 {
@@ -155,7 +156,7 @@
     return exchanges->opened;
 }
 
-/* Close kept connections whose time is up, and forget idle addresses. */
+/* Closes expired idle connections and frees pools without connections. */
 void
 exchanges_sweep(exchanges_t *exchanges)
 {
@@ -165,19 +166,19 @@
     CK_LIST_FOREACH_SAFE (pool, &exchanges->pools, entry, next_pool) {
         upconn_t *conn;
         upconn_t *next;
-        CK_LIST_FOREACH_SAFE (conn, &pool->kept, entry, next) {
-            if (now >= conn->usable_until_ms) {
+        CK_LIST_FOREACH_SAFE (conn, &pool->idle, entry, next) {
+            if (now >= conn->expires_ms) {
                 conn_free(conn);
             }
         }
-        if (pool->kept_count == 0 && pool->busy_count == 0) {
+        if (pool->idle_count == 0 && pool->busy_count == 0) {
             pool_free(pool);
         }
     }
 }
 
-/* Close what is kept to an address whose server is gone: the address may be
- * given to a server of another service. */
+/* Closes the idle connections to an address whose server is gone: the address
+ * may be reused by a server of another service. */
 void
 exchanges_close_idle(exchanges_t *exchanges, const char *addr)
 {
@@ -187,7 +188,7 @@
     }
     upconn_t *conn;
     upconn_t *next;
-    CK_LIST_FOREACH_SAFE (conn, &pool->kept, entry, next) {
+    CK_LIST_FOREACH_SAFE (conn, &pool->idle, entry, next) {
         conn_free(conn);
     }
 }
@@ -214,9 +215,9 @@
     hooks.on_end(hooks.arg, end);
 }
 
-/* Keep the connection for the next exchange if nothing speaks against it: the
- * server keeps it too, the request has left whole, and no byte has come that
- * belongs to no answer. */
+/* Keeps the connection for a later exchange, or closes it.  It can be reused
+ * if the server keeps it open, the request was sent completely, there is no
+ * input beyond the response, and not too many are idle. */
 static void
 conn_keep(upconn_t *conn)
 {
@@ -225,42 +226,43 @@
     struct evbuffer *out = bufferevent_get_output(conn->bev);
     bool clean = evbuffer_get_length(in) == 0 && evbuffer_get_length(out) == 0;
     if (!clean || !exchange->reader.head.keep_alive ||
-        exchange->keep_ms <= 0 || conn->pool->kept_count >= KEEP_MAX) {
+        exchange->keep_alive_ms <= 0 ||
+        conn->pool->idle_count >= IDLE_CONNECTIONS_MAX) {
         conn_free(conn);
         return;
     }
     conn->exchange = NULL;
-    conn->usable_until_ms = time_mono_ms() + exchange->keep_ms;
+    conn->expires_ms = time_mono_ms() + exchange->keep_alive_ms;
     conn->pool->busy_count--;
-    conn->pool->kept_count++;
-    CK_LIST_INSERT_HEAD(&conn->pool->kept, conn, entry);
+    conn->pool->idle_count++;
+    CK_LIST_INSERT_HEAD(&conn->pool->idle, conn, entry);
 }
 
 static void
-read_keep_time(exchange_t *exchange)
+read_keep_alive(exchange_t *exchange)
 {
     const http_head_t *head = &exchange->reader.head;
     const header_t *header = http_head_find(head, "Keep-Alive");
     char text[64];
-    exchange->keep_ms = KEEP_DEFAULT_MS;
+    exchange->keep_alive_ms = KEEP_ALIVE_DEFAULT_MS;
     if (header == NULL) {
         return;
     }
     http_head_copy(head, header->value, text, sizeof(text));
     const char *at = strstr(text, "timeout=");
     if (at != NULL) {
-        exchange->keep_ms =
+        exchange->keep_alive_ms =
             (int64_t)strtol(at + strlen("timeout="), NULL, 10) * 1000 -
-            KEEP_MARGIN_MS;
+            KEEP_ALIVE_MARGIN_MS;
     }
 }
 
-/* Whether the owner wants the answer whose head was just read. */
+/* Passes the head to the owner, who accepts or skips the response. */
 static void
-show_head(exchange_t *exchange)
+pass_head(exchange_t *exchange)
 {
-    exchange->looked = true;
-    read_keep_time(exchange);
+    exchange->head_seen = true;
+    read_keep_alive(exchange);
     if (exchange->hooks.on_head == NULL) {
         return;
     }
@@ -275,7 +277,7 @@
 on_body(void *arg, const char *data, size_t len)
 {
     exchange_t *exchange = arg;
-    if (exchange->skipping || exchange->dead || !exchange->looked ||
+    if (exchange->skipping || exchange->cancelled || !exchange->head_seen ||
         exchange->hooks.on_body == NULL) {
         return;
     }
@@ -285,7 +287,7 @@
 }
 
 static void
-answer_whole(exchange_t *exchange)
+response_complete(exchange_t *exchange)
 {
     upconn_t *conn = exchange->conn;
     conn_keep(conn);
@@ -293,12 +295,12 @@
     exchange_end(exchange, EXCHANGE_COMPLETE);
 }
 
-/* Go on with what has come; false once the exchange is over or must wait. */
+/* Parses buffered input; false if the exchange has ended or needs more. */
 static bool
-take_step(exchange_t *exchange, struct evbuffer *in)
+read_step(exchange_t *exchange, struct evbuffer *in)
 {
     reader_state_t state = http_reader_feed(&exchange->reader, in);
-    if (exchange->dead) {
+    if (exchange->cancelled) {
         exchange_cancel(exchange);
         return false;
     }
@@ -310,10 +312,10 @@
         return false;
     }
     bool interim = exchange->reader.head.status < 200;
-    if (!exchange->looked && !interim) {
-        show_head(exchange);
+    if (!exchange->head_seen && !interim) {
+        pass_head(exchange);
     }
-    if (exchange->dead) {
+    if (exchange->cancelled) {
         exchange_cancel(exchange);
         return false;
     }
@@ -321,21 +323,21 @@
         return evbuffer_get_length(in) > 0;
     }
     if (!interim && !exchange->skipping) {
-        answer_whole(exchange);
+        response_complete(exchange);
         return false;
     }
-    exchange->looked = false;
+    exchange->head_seen = false;
     exchange->skipping = false;
     http_reader_next(&exchange->reader);
     return evbuffer_get_length(in) > 0;
 }
 
 static void
-take_input(upconn_t *conn)
+read_input(upconn_t *conn)
 {
     struct evbuffer *in = bufferevent_get_input(conn->bev);
     exchange_t *exchange = conn->exchange;
-    while (take_step(exchange, in)) {
+    while (read_step(exchange, in)) {
     }
 }
 
@@ -345,25 +347,25 @@
     upconn_t *conn = arg;
     (void)bev;
     if (conn->exchange == NULL) {
-        /* Bytes on a kept connection belong to no request. */
+        /* Input on an idle connection belongs to no request. */
         conn_free(conn);
         return;
     }
-    take_input(conn);
+    read_input(conn);
 }
 
 static exchange_end_t
-end_of(const exchange_t *exchange)
+end_after_disconnect(const exchange_t *exchange)
 {
     if (!exchange->sent) {
         return EXCHANGE_UNSENT;
     }
-    return exchange->looked && !exchange->skipping ? EXCHANGE_BROKEN
-                                                   : EXCHANGE_NO_ANSWER;
+    return exchange->head_seen && !exchange->skipping ? EXCHANGE_BROKEN
+                                                      : EXCHANGE_NO_ANSWER;
 }
 
 static void
-send_out(exchange_t *exchange)
+send_request(exchange_t *exchange)
 {
     struct bufferevent *bev = exchange->conn->bev;
     exchange->sent = true;
@@ -378,15 +380,15 @@
     (void)event_add(exchange->timer, &after);
 }
 
-/* Wait for the end of the exchange's own time, if it has one. */
+/* Arms the timer for the deadline of the exchange, if it has one. */
 static void
-timer_until(exchange_t *exchange)
+timer_arm_deadline(exchange_t *exchange)
 {
-    if (exchange->until_ms == 0) {
+    if (exchange->deadline_ms == 0) {
         (void)event_del(exchange->timer);
         return;
     }
-    int64_t left = exchange->until_ms - time_mono_ms();
+    int64_t left = exchange->deadline_ms - time_mono_ms();
     timer_arm(exchange, left > 0 ? (int)left : 0);
 }
 
@@ -397,8 +399,8 @@
     exchange_t *exchange = conn->exchange;
     (void)bev;
     if ((what & BEV_EVENT_CONNECTED) != 0) {
-        send_out(exchange);
-        timer_until(exchange);
+        send_request(exchange);
+        timer_arm_deadline(exchange);
         return;
     }
     if (exchange == NULL) {
@@ -411,10 +413,10 @@
             exchange_end(exchange, EXCHANGE_NO_ANSWER);
             return;
         }
-        answer_whole(exchange);
+        response_complete(exchange);
         return;
     }
-    exchange_end(exchange, end_of(exchange));
+    exchange_end(exchange, end_after_disconnect(exchange));
 }
 
 static void
@@ -443,17 +445,17 @@
 socket_tune(evutil_socket_t fd)
 {
     int on = 1;
-    int idle = SILENT_IDLE_S;
-    int probe = SILENT_PROBE_S;
-    int probes = SILENT_PROBES;
-    unsigned send_ms = SILENT_SEND_MS;
+    int idle = PROBE_IDLE_S;
+    int probe = PROBE_INTERVAL_S;
+    int probes = PROBES_MAX;
+    unsigned timeout_ms = UNACKED_TIMEOUT_MS;
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     (void)setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &probe, sizeof(probe));
     (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
-    (void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &send_ms,
-                     sizeof(send_ms));
+    (void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+                     sizeof(timeout_ms));
 }
 
 static upconn_t *
@@ -487,14 +489,14 @@
 }
 
 static upconn_t *
-conn_take_kept(addr_pool_t *pool)
+conn_take_idle(addr_pool_t *pool)
 {
     int64_t now = time_mono_ms();
     upconn_t *conn;
-    while ((conn = CK_LIST_FIRST(&pool->kept)) != NULL) {
-        if (now < conn->usable_until_ms) {
+    while ((conn = CK_LIST_FIRST(&pool->idle)) != NULL) {
+        if (now < conn->expires_ms) {
             CK_LIST_REMOVE(conn, entry);
-            pool->kept_count--;
+            pool->idle_count--;
             pool->busy_count++;
             return conn;
         }
@@ -503,27 +505,27 @@
     return NULL;
 }
 
-/* Start an exchange.  No hook is called before this returns; an address that
- * cannot be used ends as unsent from the loop. */
+/* Starts an exchange.  No hook is called before this returns; an unusable
+ * address ends it as unsent from the event loop. */
 exchange_t *
-exchange_start(exchanges_t *exchanges, const exchange_request_t *ask,
+exchange_start(exchanges_t *exchanges, const exchange_request_t *request,
                const exchange_hooks_t *hooks)
 {
-    addr_pool_t *pool = pool_get(exchanges, ask->addr);
+    addr_pool_t *pool = pool_get(exchanges, request->addr);
     exchange_t *exchange = mem_zalloc(sizeof(*exchange));
     exchange->owner = exchanges;
     exchange->hooks = *hooks;
     exchange->timer = evtimer_new(exchanges->base, on_timer, exchange);
-    http_reader_init(&exchange->reader, true, ANSWER_HEAD_MAX, on_body,
+    http_reader_init(&exchange->reader, true, RESPONSE_HEAD_MAX, on_body,
                      exchange);
-    exchange->reader.no_body = ask->no_response_body;
-    buf_add(&exchange->out, ask->head, ask->head_len);
-    if (ask->body_len > 0) {
-        buf_add(&exchange->out, ask->body, ask->body_len);
-    }
-    upconn_t *conn = ask->new_connection ? NULL : conn_take_kept(pool);
-    bool kept = conn != NULL;
-    if (!kept) {
+    exchange->reader.no_body = request->no_response_body;
+    buf_add(&exchange->out, request->head, request->head_len);
+    if (request->body_len > 0) {
+        buf_add(&exchange->out, request->body, request->body_len);
+    }
+    upconn_t *conn = request->new_connection ? NULL : conn_take_idle(pool);
+    bool reused = conn != NULL;
+    if (!reused) {
         conn = conn_open(pool);
     }
     if (conn == NULL) {
@@ -532,25 +534,27 @@
     }
     exchange->conn = conn;
     conn->exchange = exchange;
-    if (ask->total_ms > 0) {
-        exchange->until_ms = time_mono_ms() + ask->total_ms;
+    if (request->total_ms > 0) {
+        exchange->deadline_ms = time_mono_ms() + request->total_ms;
     }
-    if (kept) {
-        send_out(exchange);
-        timer_until(exchange);
+    if (reused) {
+        send_request(exchange);
+        timer_arm_deadline(exchange);
         return exchange;
     }
-    bool short_of_time = ask->total_ms > 0 && ask->total_ms < ask->connect_ms;
-    timer_arm(exchange, short_of_time ? ask->total_ms : ask->connect_ms);
+    bool total_is_shorter =
+        request->total_ms > 0 && request->total_ms < request->connect_ms;
+    timer_arm(exchange,
+              total_is_shorter ? request->total_ms : request->connect_ms);
     return exchange;
 }
 
-/* Give an exchange up; no hook is called any more. */
+/* Cancels and frees an exchange without calling any further hook. */
 void
 exchange_cancel(exchange_t *exchange)
 {
     if (exchange->in_hook) {
-        exchange->dead = true;
+        exchange->cancelled = true;
         return;
     }
     if (exchange->conn != NULL) {
--- a/kernel/http-client.c
+++ b/kernel/http-client.c
@@ -6,23 +6,25 @@
 #include <string.h>
 #include <strings.h>
 
-/* A client for programs with threads: a few loops, each with exchanges of its
- * own.  An exchange is left with a loop, and all its callbacks come there. */
-
-#define SLOTS 1024
-/* Kept connections are looked through this often. */
-#define SWEEP_MS 500
-/* Where a call names none, ms. */
+/* HTTP client for multi-threaded programs: several worker threads, each with
+ * its own event loop.  An exchange is assigned to one worker, and all of its
+ * callbacks run on that thread. */
+
+/* Hash slots for the running exchanges of a worker. */
+#define XFER_SLOTS 1024
+/* Interval at which expired idle connections are closed. */
+#define SWEEP_INTERVAL_MS 500
+/* Used for a call that sets no connect timeout. */
 #define CONNECT_MS_DEFAULT 5000
 #define URL_SCHEME "http://"
 
 typedef struct worker worker_t;
 
-/* It belongs to its worker's thread from the moment that the worker takes it
- * off the inbox until on_end has returned. */
+/* An exchange with its callbacks.  Owned by the worker's thread from when the
+ * worker takes it off the inbox until on_end has returned. */
 typedef struct xfer {
     CK_STAILQ_ENTRY(xfer) inbox;
-    CK_LIST_ENTRY(xfer) live;
+    CK_LIST_ENTRY(xfer) running;
     uint64_t id;
     http_call_t call;
     char addr[CS_ADDR_MAX];
@@ -31,27 +33,27 @@
     exchange_t *exchange;
     int status;
     http_end_t end;
-    bool over;
-    worker_t *worker; /* NULL for one that blocks its caller */
+    bool done;
+    worker_t *worker; /* NULL for http_fetch */
 } xfer_t;
 
 typedef CK_STAILQ_HEAD(xfer_inbox, xfer) xfer_inbox_t;
 typedef CK_LIST_HEAD(xfer_list, xfer) xfer_list_t;
 
-/* Its lock guards the inbox and the cancels, and is a leaf. */
+/* The lock guards inbox and cancels; no other lock is taken under it. */
 struct worker {
     loop_t loop;
     pthread_mutex_t lock;
     exchanges_t *exchanges;
     struct event *sweep;
     xfer_inbox_t inbox;
-    buf_t cancels; /* ids, one behind the other */
-    xfer_list_t live[SLOTS];
+    buf_t cancels; /* an array of uint64_t ids */
+    xfer_list_t running[XFER_SLOTS];
 };
 
 struct http_client {
     unsigned threads;
-    uint64_t next;
+    uint64_t last_id;
     pthread_mutex_t lock;
     worker_t *workers;
 };
@@ -72,9 +74,9 @@
     return false;
 }
 
-/* Write the head out, and take the address from the URL. */
+/* Formats the request head and extracts the address from the URL. */
 static void
-xfer_head(xfer_t *xfer)
+xfer_write_head(xfer_t *xfer)
 {
     const http_call_t *call = &xfer->call;
     const char *host = call->url;
@@ -107,7 +109,7 @@
     xfer_t *xfer = mem_zalloc(sizeof(*xfer));
     xfer->id = id;
     xfer->call = *call;
-    xfer_head(xfer);
+    xfer_write_head(xfer);
     if (call->body != NULL) {
         xfer->body = mem_zalloc(call->body_len + 1);
         memcpy(xfer->body, call->body, call->body_len);
@@ -124,7 +126,7 @@
 }
 
 static void
-show_header(const xfer_t *xfer, const http_head_t *head,
+pass_header(const xfer_t *xfer, const http_head_t *head,
             const header_t *header)
 {
     char name[128];
@@ -141,7 +143,7 @@
     xfer->status = head->status;
     for (unsigned i = 0; xfer->call.on_header != NULL && i < head->count;
          i++) {
-        show_header(xfer, head, &head->headers[i]);
+        pass_header(xfer, head, &head->headers[i]);
     }
     return HEAD_ACCEPT;
 }
@@ -159,11 +161,11 @@
 xfer_finish(xfer_t *xfer, http_end_t end)
 {
     xfer->end = end;
-    xfer->over = true;
+    xfer->done = true;
     if (xfer->worker == NULL) {
-        return; /* whoever waits for it looks */
+        return; /* http_fetch polls done */
     }
-    CK_LIST_REMOVE(xfer, live);
+    CK_LIST_REMOVE(xfer, running);
     if (xfer->call.on_end != NULL) {
         xfer->call.on_end(xfer->call.arg, end, xfer->status);
     }
@@ -198,7 +200,7 @@
 {
     const http_call_t *call = &xfer->call;
     exchange_hooks_t hooks = {on_head, on_body, on_end, xfer};
-    exchange_request_t ask = {
+    exchange_request_t request = {
         .addr = xfer->addr,
         .head = xfer->head.data,
         .head_len = xfer->head.len,
@@ -209,13 +211,13 @@
         .connect_ms =
             call->connect_ms > 0 ? call->connect_ms : CONNECT_MS_DEFAULT,
         .total_ms = call->total_ms};
-    xfer->exchange = exchange_start(exchanges, &ask, &hooks);
+    xfer->exchange = exchange_start(exchanges, &request, &hooks);
 }
 
-/* ---- on a worker's thread ---- */
+/* ---- on the worker's thread ---- */
 
 static xfer_t *
-take_inbox(worker_t *worker)
+inbox_take(worker_t *worker)
 {
     LOCK_SCOPE(&worker->lock);
     xfer_t *xfer = CK_STAILQ_FIRST(&worker->inbox);
@@ -226,11 +228,12 @@
 }
 
 static void
-start_new(worker_t *worker)
+start_submitted(worker_t *worker)
 {
     xfer_t *xfer;
-    while ((xfer = take_inbox(worker)) != NULL) {
-        CK_LIST_INSERT_HEAD(&worker->live[xfer->id % SLOTS], xfer, live);
+    while ((xfer = inbox_take(worker)) != NULL) {
+        CK_LIST_INSERT_HEAD(&worker->running[xfer->id % XFER_SLOTS], xfer,
+                            running);
         xfer_start(xfer, worker->exchanges);
     }
 }
@@ -246,7 +249,7 @@
 cancel_one(worker_t *worker, uint64_t id)
 {
     xfer_t *xfer;
-    CK_LIST_FOREACH (xfer, &worker->live[id % SLOTS], live) {
+    CK_LIST_FOREACH (xfer, &worker->running[id % XFER_SLOTS], running) {
         if (xfer->id == id) {
             xfer_cancel(xfer);
             return;
@@ -255,7 +258,7 @@
 }
 
 static void
-cancel_asked(worker_t *worker)
+process_cancels(worker_t *worker)
 {
     (void)pthread_mutex_lock(&worker->lock);
     CLEAN_BUF buf_t cancels = worker->cancels;
@@ -271,9 +274,9 @@
 static void
 cancel_all(worker_t *worker)
 {
-    for (size_t i = 0; i < SLOTS; i++) {
+    for (size_t i = 0; i < XFER_SLOTS; i++) {
         xfer_t *xfer;
-        while ((xfer = CK_LIST_FIRST(&worker->live[i])) != NULL) {
+        while ((xfer = CK_LIST_FIRST(&worker->running[i])) != NULL) {
             xfer_cancel(xfer);
         }
     }
@@ -283,8 +286,8 @@
 on_wake(void *arg)
 {
     worker_t *worker = arg;
-    start_new(worker);
-    cancel_asked(worker);
+    start_submitted(worker);
+    process_cancels(worker);
     if (loop_is_stopping(&worker->loop)) {
         cancel_all(worker);
     }
@@ -304,7 +307,7 @@
 static void
 worker_start(worker_t *worker)
 {
-    static const struct timeval sweep = {0, SWEEP_MS * 1000};
+    static const struct timeval sweep = {0, SWEEP_INTERVAL_MS * 1000};
     (void)pthread_mutex_init(&worker->lock, NULL);
     CK_STAILQ_INIT(&worker->inbox);
     loop_open(&worker->loop, on_wake, worker);
@@ -319,7 +322,7 @@
 worker_stop(worker_t *worker)
 {
     loop_join(&worker->loop);
-    on_wake(worker); /* what came behind the last turn */
+    on_wake(worker); /* requests made after the last on_wake */
     exchanges_free(worker->exchanges);
     event_free(worker->sweep);
     loop_close(&worker->loop);
@@ -327,7 +330,7 @@
     (void)pthread_mutex_destroy(&worker->lock);
 }
 
-/* Start a client with its own worker threads. */
+/* Creates a client and starts its worker threads. */
 http_client_t *
 http_client_new(unsigned threads)
 {
@@ -341,7 +344,7 @@
     return client;
 }
 
-/* End all exchanges as cancelled and join the workers. */
+/* Ends all exchanges as cancelled, joins the workers and frees the client. */
 void
 http_client_free(http_client_t *client)
 {
@@ -353,13 +356,14 @@
     free(client);
 }
 
-/* Start an exchange and return its number, by which it can be cancelled.
- * All callbacks come on one worker's thread, on_end last and exactly once. */
+/* Starts an exchange and returns its id for http_client_cancel.  All callbacks
+ * run on one worker's thread; on_end is the last, called exactly once.
+ */
 uint64_t
 http_client_start(http_client_t *client, const http_call_t *call)
 {
     (void)pthread_mutex_lock(&client->lock);
-    uint64_t id = ++client->next;
+    uint64_t id = ++client->last_id;
     (void)pthread_mutex_unlock(&client->lock);
     xfer_t *xfer = xfer_new(call, id);
     worker_t *worker = &client->workers[id % client->threads];
@@ -371,7 +375,7 @@
     return id;
 }
 
-/* Ask for an exchange to end as cancelled; one that has ended is left. */
+/* Requests that an exchange ends as cancelled; no effect once it has ended. */
 void
 http_client_cancel(http_client_t *client, uint64_t id)
 {
@@ -389,20 +393,20 @@
     buf_add(arg, data, len);
 }
 
-/* One exchange in the calling thread, for start-up, tools and the plain
- * loops that may wait. */
+/* Runs one exchange in the calling thread, for start-up, command-line tools
+ * and threads that may block. */
 http_end_t
 http_fetch(const http_call_t *call, int *status, buf_t *reply)
 {
-    http_call_t mine = *call;
-    mine.on_header = NULL;
-    mine.on_data = fetch_on_data;
-    mine.arg = reply;
+    http_call_t copy = *call;
+    copy.on_header = NULL;
+    copy.on_data = fetch_on_data;
+    copy.arg = reply;
     struct event_base *base = event_base_new();
     exchanges_t *exchanges = exchanges_new(base);
-    xfer_t *xfer = xfer_new(&mine, 0);
+    xfer_t *xfer = xfer_new(&copy, 0);
     xfer_start(xfer, exchanges);
-    while (!xfer->over) {
+    while (!xfer->done) {
         (void)event_base_loop(base, EVLOOP_ONCE);
     }
     http_end_t end = xfer->end;
