--- a/kernel/http-reader.c
+++ b/kernel/http-reader.c
@@ -16,11 +16,11 @@
 }
 
 static int
-refuse(http_reader_t *reader, int status, const char *why)
+reject(http_reader_t *reader, int status, const char *reason)
 {
     reader->state = READER_INVALID;
     reader->status = status;
-    reader->reason = why;
+    reader->reason = reason;
     return -1;
 }
 
@@ -32,18 +32,18 @@
     return 0;
 }
 
-/* http-parser takes a blank inside a name; a proxy behind could read such a
- * line as another header, so it is refused. */
+/* http-parser accepts a space inside a header name.  The next hop could read
+ * such a line as a different header, so it is rejected. */
 static int
 on_field(http_parser *parser, const char *at, size_t len)
 {
     http_reader_t *reader = reader_of(parser);
     http_head_t *head = &reader->head;
     if (head->count == HTTP_HEAD_HEADERS_MAX) {
-        return refuse(reader, 431, "too many headers");
+        return reject(reader, 431, "too many headers");
     }
     if (len == 0 || memchr(at, ' ', len) != NULL) {
-        return refuse(reader, 400, "a blank in a header's name");
+        return reject(reader, 400, "a blank in a header's name");
     }
     head->headers[head->count].name = span_of(head, at, len);
     head->headers[head->count].value = span_of(head, at + len, 0);
@@ -52,15 +52,15 @@
     return 0;
 }
 
-/* The head is parsed in one go, so a value comes in one piece unless the
- * header is folded over lines, which is refused. */
+/* The head is parsed in one call, so a value arrives in one piece unless the
+ * header is folded over several lines, which is rejected. */
 static int
 on_value(http_parser *parser, const char *at, size_t len)
 {
     http_reader_t *reader = reader_of(parser);
     http_head_t *head = &reader->head;
     if (reader->last_was_value) {
-        return refuse(reader, 400, "a folded header");
+        return reject(reader, 400, "a folded header");
     }
     while (len > 0 && (at[len - 1] == ' ' || at[len - 1] == '\t')) {
         len--;
@@ -90,7 +90,7 @@
     return reader->state == READER_INVALID ? -1 : 0;
 }
 
-/* Stop behind the message, so that what follows stays in the buffer. */
+/* Stops after the message, so that later bytes stay in the buffer. */
 static int
 on_message_complete(http_parser *parser)
 {
@@ -99,7 +99,7 @@
     return 0;
 }
 
-static const http_parser_settings hooks = {
+static const http_parser_settings parser_settings = {
     .on_url = on_url,
     .on_header_field = on_field,
     .on_header_value = on_value,
@@ -108,7 +108,7 @@
     .on_message_complete = on_message_complete,
 };
 
-/* A reader for one side of a connection. */
+/* Initializes a reader for the requests or the responses of a connection. */
 void
 http_reader_init(http_reader_t *reader, bool response, size_t head_max,
                  reader_body_t on_body_piece, void *arg)
@@ -121,7 +121,7 @@
     http_reader_next(reader);
 }
 
-/* Get ready for the next message; what was read of the last one is gone. */
+/* Resets the reader for the next message. */
 void
 http_reader_next(http_reader_t *reader)
 {
@@ -146,17 +146,17 @@
 }
 
 static void
-check_parser(http_reader_t *reader)
+check_parser_error(http_reader_t *reader)
 {
     enum http_errno error = HTTP_PARSER_ERRNO(&reader->parser);
     if (error != HPE_OK && error != HPE_PAUSED &&
         reader->state != READER_INVALID) {
-        (void)refuse(reader, 400, http_errno_description(error));
+        (void)reject(reader, 400, http_errno_description(error));
     }
 }
 
-/* Two Host headers, or none, let two readers take a request for different
- * sites. */
+/* Rejects a request without exactly one Host header, which two parsers could
+ * attribute to different hosts, and a protocol upgrade. */
 static void
 check_request(http_reader_t *reader)
 {
@@ -166,15 +166,15 @@
         hosts += http_head_is(head, head->headers[i].name, "Host") ? 1 : 0;
     }
     if (hosts != 1) {
-        (void)refuse(reader, 400, "not exactly one Host header");
+        (void)reject(reader, 400, "not exactly one Host header");
         return;
     }
     if (reader->parser.upgrade != 0) {
-        (void)refuse(reader, 400, "an upgrade is not served");
+        (void)reject(reader, 400, "an upgrade is not served");
     }
 }
 
-/* Some senders end a body with an empty line that belongs to nothing. */
+/* Some clients send an extra CRLF after a body. */
 static void
 skip_empty_lines(struct evbuffer *in)
 {
@@ -194,24 +194,24 @@
     size_t have = evbuffer_get_length(in);
     if (end.pos < 0) {
         if (have > reader->head_max) {
-            (void)refuse(reader, 431, "the head is too long");
+            (void)reject(reader, 431, "the head is too long");
         }
         return false;
     }
     size_t len = (size_t)end.pos + 4;
     if (len > reader->head_max) {
-        (void)refuse(reader, 431, "the head is too long");
+        (void)reject(reader, 431, "the head is too long");
         return false;
     }
     const char *raw = (const char *)evbuffer_pullup(in, (ev_ssize_t)len);
     buf_add(&reader->head.text, raw, len);
     (void)evbuffer_drain(in, len);
-    (void)http_parser_execute(&reader->parser, &hooks, reader->head.text.data,
-                              len);
-    check_parser(reader);
+    (void)http_parser_execute(&reader->parser, &parser_settings,
+                              reader->head.text.data, len);
+    check_parser_error(reader);
     if (reader->state == READER_HEAD) {
-        /* Empty lines before a message, or a head that did not end here. */
-        (void)refuse(reader, 400, "the head is not one message");
+        /* Empty lines before a message, or a head that does not end here. */
+        (void)reject(reader, 400, "the head is not one message");
     }
     if (reader->state != READER_INVALID && !reader->response) {
         check_request(reader);
@@ -224,9 +224,9 @@
     return reader->state != READER_INVALID;
 }
 
-/* Take what has come.  Stops behind the head (the state is then BODY, or
- * WHOLE if there is no body) so that the owner can look at it; called again,
- * it goes on with the body. */
+/* Parses buffered input.  Stops after the head (the state is then BODY, or
+ * COMPLETE if there is no body) so that the owner can inspect it; further
+ * calls read the body. */
 reader_state_t
 http_reader_feed(http_reader_t *reader, struct evbuffer *in)
 {
@@ -239,9 +239,9 @@
         if (evbuffer_peek(in, -1, NULL, &piece, 1) < 1 || piece.iov_len == 0) {
             break;
         }
-        size_t used = http_parser_execute(&reader->parser, &hooks,
+        size_t used = http_parser_execute(&reader->parser, &parser_settings,
                                           piece.iov_base, piece.iov_len);
-        check_parser(reader);
+        check_parser_error(reader);
         (void)evbuffer_drain(in, used);
         if (used == 0) {
             break;
@@ -250,13 +250,14 @@
     return reader->state;
 }
 
-/* The connection has ended: an answer that has no length is whole then. */
+/* The peer has closed the connection, which completes a response without a
+ * length. */
 reader_state_t
 http_reader_eof(http_reader_t *reader)
 {
     if (reader->state == READER_BODY) {
-        (void)http_parser_execute(&reader->parser, &hooks, NULL, 0);
-        check_parser(reader);
+        (void)http_parser_execute(&reader->parser, &parser_settings, NULL, 0);
+        check_parser_error(reader);
     }
     return reader->state;
 }
@@ -273,7 +274,7 @@
     return head->text.data + span.offset;
 }
 
-/* Whether a span is this text, in any case. */
+/* Whether a span equals a text, ignoring case. */
 bool
 http_head_is(const http_head_t *head, span_t span, const char *text)
 {
--- a/kernel/http-reader.h
+++ b/kernel/http-reader.h
@@ -1,10 +1,10 @@
 #ifndef CELERYSPOOL_HTTP_READER_H
 #define CELERYSPOOL_HTTP_READER_H
 
-/* Reads HTTP/1.1 messages off an event buffer, over the http-parser library.
- * It keeps the head as it was on the wire, so that a relay can pass names,
- * order and repeats of headers on unchanged, and refuses what two parsers
- * could take in two ways. */
+/* Reads HTTP/1.1 messages from an event buffer with the http-parser library.
+ * It keeps the head as received, so that a relay can forward header names,
+ * order and repetitions unchanged, and rejects messages that two parsers could
+ * interpret differently. */
 
 #include "base.h"
 
@@ -25,21 +25,21 @@
 } header_t;
 
 typedef struct {
-    buf_t text; /* the head as it was read */
+    buf_t text; /* the head as received */
     header_t headers[HTTP_HEAD_HEADERS_MAX];
     unsigned count;
-    span_t target; /* of a request: path and query */
+    span_t target; /* path and query of a request */
     unsigned method;
     int status;
     bool keep_alive;
-    bool until_close; /* an answer without a length ends with its connection */
+    bool until_close; /* a response that ends with its connection */
 } http_head_t;
 
 typedef enum {
     READER_HEAD,
     READER_BODY,
     READER_COMPLETE,
-    READER_INVALID /* status tells the answer that a request gets */
+    READER_INVALID /* see status and reason */
 } reader_state_t;
 
 typedef struct http_reader http_reader_t;
@@ -51,11 +51,11 @@
     http_parser parser;
     reader_state_t state;
     bool response;
-    bool no_body; /* the answer to a HEAD */
+    bool no_body; /* a response to a HEAD request */
     bool last_was_value;
     size_t head_max;
-    int status;         /* of READER_INVALID: 400 or 431 */
-    const char *reason; /* of READER_INVALID */
+    int status; /* of READER_INVALID: the status to respond with, 400 or 431 */
+    const char *reason; /* of READER_INVALID: for logs and error messages */
     http_head_t head;
     reader_body_t on_body;
     void *arg;
