--- a/kernel/buf.c
+++ b/kernel/buf.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUF_FIRST 256
+#define BUF_CAP_MIN 256
 
 static void
 buf_reserve(buf_t *buf, size_t more)
@@ -13,7 +13,7 @@
     if (need <= buf->cap) {
         return;
     }
-    size_t cap = buf->cap == 0 ? BUF_FIRST : buf->cap;
+    size_t cap = buf->cap == 0 ? BUF_CAP_MIN : buf->cap;
     while (cap < need) {
         cap *= 2;
     }
@@ -25,7 +25,7 @@
     buf->cap = cap;
 }
 
-/* Append bytes; memory running out ends the process. */
+/* Appends bytes; aborts the process if out of memory. */
 void
 buf_add(buf_t *buf, const void *data, size_t len)
 {
@@ -37,14 +37,14 @@
     buf->data[buf->len] = '\0';
 }
 
-/* Append a NUL-ended text without its NUL. */
+/* Appends a NUL-terminated text without its NUL. */
 void
 buf_str(buf_t *buf, const char *text)
 {
     buf_add(buf, text, strlen(text));
 }
 
-/* Append formatted text. */
+/* Appends formatted text. */
 void
 buf_fmt(buf_t *buf, const char *fmt, ...)
 {
@@ -62,7 +62,7 @@
     buf->len += (size_t)len;
 }
 
-/* Remove bytes from the front. */
+/* Removes bytes from the front. */
 void
 buf_drop(buf_t *buf, size_t len)
 {
@@ -78,7 +78,7 @@
     }
 }
 
-/* Free the memory and leave an empty buffer that can be used again. */
+/* Frees the memory and leaves an empty buffer that can be reused. */
 void
 buf_free(buf_t *buf)
 {
@@ -86,7 +86,7 @@
     *buf = (buf_t){0};
 }
 
-/* The content as text, empty for an untouched buffer. */
+/* The content as text; "" for an unused buffer. */
 const char *
 buf_text(const buf_t *buf)
 {
--- a/kernel/loop.c
+++ b/kernel/loop.c
@@ -9,7 +9,7 @@
     loop_t *loop = arg;
     uint64_t count;
     ssize_t got = read(fd, &count, sizeof(count));
-    (void)got; /* nothing to read: another wake took it */
+    (void)got; /* EAGAIN: an earlier read consumed this wake */
     (void)what;
     loop->on_wake(loop->arg);
     if (loop_is_stopping(loop)) {
@@ -17,7 +17,7 @@
     }
 }
 
-/* Set a loop up; its owner adds its own events before it starts. */
+/* Initializes a loop; the owner then adds its events before loop_start. */
 void
 loop_open(loop_t *loop, void (*on_wake)(void *arg), void *arg)
 {
@@ -48,13 +48,13 @@
     (void)pthread_create(&loop->thread, NULL, loop_run, loop);
 }
 
-/* Have on_wake called; from any thread. */
+/* Causes on_wake to be called; callable from any thread. */
 void
 loop_wake(loop_t *loop)
 {
     uint64_t one = 1;
     ssize_t put = write(loop->fd, &one, sizeof(one));
-    (void)put; /* a full counter wakes as well */
+    (void)put; /* fails only if the counter is full, which also wakes */
 }
 
 bool
@@ -63,8 +63,8 @@
     return __atomic_load_n(&loop->stopping, __ATOMIC_ACQUIRE);
 }
 
-/* End the thread.  What belongs to the loop may be touched from here on, until
- * it is closed. */
+/* Stops the thread and waits for it.  After this, what belongs to the loop may
+ * be accessed by the calling thread until loop_close. */
 void
 loop_join(loop_t *loop)
 {
--- a/kernel/loop.h
+++ b/kernel/loop.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_LOOP_H
 #define CELERYSPOOL_LOOP_H
 
-/* A thread that runs an event loop of its own and is woken by others.  All
- * that belongs to the loop is touched on its thread alone. */
+/* A thread that runs an event loop and can be woken by other threads.  What
+ * belongs to the loop is accessed only on its thread. */
 
 #include "base.h"
 
@@ -14,7 +14,7 @@
     pthread_t thread;
     int fd; /* an eventfd */
     bool stopping;
-    /* Runs on the loop's thread after each wake, and a last time before the
+    /* Called on the loop's thread after each wake, and once more before the
      * thread ends. */
     void (*on_wake)(void *arg);
     void *arg;
--- a/kernel/pool.c
+++ b/kernel/pool.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* A few workers for jobs that may block on the platform or a peer. */
+/* Worker threads for jobs that may block on the platform or a peer. */
 
 typedef struct job {
     CK_STAILQ_ENTRY(job) entry;
@@ -12,9 +12,9 @@
 
 struct pool {
     pthread_mutex_t lock;
-    pthread_cond_t more;
+    pthread_cond_t job_added;
     CK_STAILQ_HEAD(jobs, job) jobs;
-    bool stop;
+    bool stopping;
     unsigned threads;
     pthread_t *workers;
 };
@@ -23,8 +23,8 @@
 pool_next(pool_t *pool)
 {
     LOCK_SCOPE(&pool->lock);
-    while (CK_STAILQ_EMPTY(&pool->jobs) && !pool->stop) {
-        (void)pthread_cond_wait(&pool->more, &pool->lock);
+    while (CK_STAILQ_EMPTY(&pool->jobs) && !pool->stopping) {
+        (void)pthread_cond_wait(&pool->job_added, &pool->lock);
     }
     job_t *job = CK_STAILQ_FIRST(&pool->jobs);
     if (job != NULL) {
@@ -44,13 +44,13 @@
     return NULL;
 }
 
-/* Start so many workers. */
+/* Creates a pool and starts its threads. */
 pool_t *
 pool_new(unsigned threads)
 {
     pool_t *pool = mem_zalloc(sizeof(*pool));
     (void)pthread_mutex_init(&pool->lock, NULL);
-    (void)pthread_cond_init(&pool->more, NULL);
+    (void)pthread_cond_init(&pool->job_added, NULL);
     CK_STAILQ_INIT(&pool->jobs);
     pool->threads = threads;
     pool->workers = mem_zalloc(threads * sizeof(pthread_t));
@@ -60,7 +60,7 @@
     return pool;
 }
 
-/* Hand a job in; jobs run in order of arrival, several at once. */
+/* Queues a job.  Jobs start in order of submission and run in parallel. */
 void
 pool_submit(pool_t *pool, void (*run)(void *arg), void *arg)
 {
@@ -69,21 +69,21 @@
     job->arg = arg;
     LOCK_SCOPE(&pool->lock);
     CK_STAILQ_INSERT_TAIL(&pool->jobs, job, entry);
-    (void)pthread_cond_signal(&pool->more);
+    (void)pthread_cond_signal(&pool->job_added);
 }
 
-/* Run what has been handed in, then join the workers. */
+/* Runs the queued jobs, joins the threads and frees the pool. */
 void
 pool_free(pool_t *pool)
 {
     (void)pthread_mutex_lock(&pool->lock);
-    pool->stop = true;
-    (void)pthread_cond_broadcast(&pool->more);
+    pool->stopping = true;
+    (void)pthread_cond_broadcast(&pool->job_added);
     (void)pthread_mutex_unlock(&pool->lock);
     for (unsigned i = 0; i < pool->threads; i++) {
         (void)pthread_join(pool->workers[i], NULL);
     }
-    (void)pthread_cond_destroy(&pool->more);
+    (void)pthread_cond_destroy(&pool->job_added);
     (void)pthread_mutex_destroy(&pool->lock);
     free(pool->workers);
     free(pool);
