--- a/tests/test-http-edges.c
+++ b/tests/test-http-edges.c
@@ -11,14 +11,14 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-/* The HTTP server and client against each other, and against raw sockets. */
+/* Tests the HTTP server and client with each other and with raw sockets. */
 
-/* BASE moves the port, so that runs do not meet. */
+/* BASE is added to the port, so that concurrent runs do not conflict. */
 #define PORT 6391
-#define BIG (16u << 20)
+#define BIG_BODY_LEN (16u << 20)
 
 static char addr[CS_ADDR_MAX];
-static http_req_t *held;
+static http_req_t *held_req;
 static unsigned handled;
 
 static void
@@ -28,14 +28,14 @@
     (void)arg;
     __atomic_add_fetch(&handled, 1, __ATOMIC_RELAXED);
     if (strcmp(path, "/big") == 0) {
-        char *text = mem_zalloc(BIG);
-        memset(text, 'x', BIG);
-        http_req_reply(req, 200, "text/plain", text, BIG);
+        char *text = mem_zalloc(BIG_BODY_LEN);
+        memset(text, 'x', BIG_BODY_LEN);
+        http_req_reply(req, 200, "text/plain", text, BIG_BODY_LEN);
         free(text);
     }
     else if (strcmp(path, "/later") == 0 || strcmp(path, "/stream") == 0) {
         http_req_hold(req);
-        __atomic_store_n(&held, req, __ATOMIC_RELEASE);
+        __atomic_store_n(&held_req, req, __ATOMIC_RELEASE);
     }
     else if (strcmp(path, "/cut") == 0) {
         http_req_abort(req);
@@ -66,7 +66,7 @@
     return PORT + (base != NULL ? (int)strtol(base, NULL, 10) : 0);
 }
 
-/* A path's URL at the server, until the next is made. */
+/* The server's URL for a path; valid until the next call. */
 static const char *
 url(const char *path)
 {
@@ -87,7 +87,7 @@
                                .idle_seconds = idle_s,
                                .handler = handle};
     (void)signal(SIGPIPE, SIG_IGN);
-    held = NULL;
+    held_req = NULL;
     handled = 0;
     http_server_t *server = http_server_start(&opts, &err);
     ck_assert_msg(server != NULL, "%s", err.text);
@@ -101,73 +101,73 @@
 }
 
 static int
-dial(void)
+connect_to_server(void)
 {
     struct sockaddr_in to = {.sin_family = AF_INET,
                              .sin_port = htons((uint16_t)port())};
-    struct timeval patience = {5, 0};
+    struct timeval timeout = {5, 0};
     int fd = socket(AF_INET, SOCK_STREAM, 0);
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     ck_assert_int_eq(connect(fd, (struct sockaddr *)&to, sizeof(to)), 0);
     return fd;
 }
 
 static void
-say(int fd, const char *text)
+send_text(int fd, const char *text)
 {
     ck_assert_int_eq(write(fd, text, strlen(text)), (ssize_t)strlen(text));
 }
 
-/* Read until the other end closes, or until so many bytes are there. */
+/* Reads until the peer closes or the buffer holds WANT_LEN bytes. */
 static void
-hear(int fd, buf_t *out, size_t enough)
+receive(int fd, buf_t *out, size_t want_len)
 {
     char data[16384];
     ssize_t len;
-    while (out->len < enough && (len = read(fd, data, sizeof(data))) > 0) {
+    while (out->len < want_len && (len = read(fd, data, sizeof(data))) > 0) {
         buf_add(out, data, (size_t)len);
     }
 }
 
 static http_req_t *
-wait_held(void)
+wait_held_req(void)
 {
     http_req_t *req;
     for (int i = 0; i < 2000; i++) {
-        req = __atomic_load_n(&held, __ATOMIC_ACQUIRE);
+        req = __atomic_load_n(&held_req, __ATOMIC_ACQUIRE);
         if (req != NULL) {
             return req;
         }
         time_sleep_ms(1);
     }
-    ck_abort_msg("no request came");
+    ck_abort_msg("no request arrived");
     return NULL;
 }
 
-/* A caller on a slow line gets a part of its answer: the connection counts as
- * idle from the moment that the answer was written into memory, and is closed
- * while megabytes of it are still to leave. */
-START_TEST(slow_reader_gets_its_whole_answer)
+/* Guards against truncated responses to slow readers: the connection counts as
+ * idle once the response is buffered, and the idle timeout would close it
+ * while megabytes are still to be sent. */
+START_TEST(slow_reader_gets_the_complete_response)
 {
     http_server_t *server = start_idle(1, 1);
     CLEAN_BUF buf_t got = {0};
-    int fd = dial();
+    int fd = connect_to_server();
     int small = 65536;
     (void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof(small));
-    say(fd, "GET /big HTTP/1.1\r\nHost: a\r\n\r\n");
-    hear(fd, &got, 1000);
+    send_text(fd, "GET /big HTTP/1.1\r\nHost: a\r\n\r\n");
+    receive(fd, &got, 1000);
     time_sleep_ms(1500);
-    hear(fd, &got, BIG + 1);
-    ck_assert_uint_ge(got.len, BIG);
+    receive(fd, &got, BIG_BODY_LEN + 1);
+    ck_assert_uint_ge(got.len, BIG_BODY_LEN);
     (void)close(fd);
     http_server_stop(server);
 }
 END_TEST
 
-/* What was asked arrives as it was meant: escapes, query, header in any case,
- * body, and the target as it was on the wire. */
-START_TEST(request_is_shown_as_it_was)
+/* The handler gets the decoded path and query, headers regardless of case, the
+ * body, and the raw target. */
+START_TEST(handler_gets_the_request_as_sent)
 {
     http_server_t *server = start(2);
     CLEAN_BUF buf_t reply = {0};
@@ -187,26 +187,26 @@
 }
 END_TEST
 
-/* Several requests sent at once are answered in their order, the one that is
- * answered late included.  Again and again, since a thread that answers right
- * while the connection writes the answer before met the loop in the middle:
- * the request was answered twice and freed, and the connection hung. */
+/* Pipelined requests are answered in order, also if one is answered late.
+ * Guards against a race: another thread's response, made while the loop was
+ * writing the previous one, was written twice, the request was freed, and the
+ * connection hung.  Repeated to hit that moment. */
 START_TEST(pipelined_requests_keep_their_order)
 {
     http_server_t *server = start(1);
     for (int i = 0; i < 1000; i++) {
         CLEAN_BUF buf_t got = {0};
-        int fd = dial();
-        __atomic_store_n(&held, NULL, __ATOMIC_RELEASE);
-        say(fd,
-            "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
-            "GET /later HTTP/1.1\r\nHost: a\r\n\r\n"
-            "GET /3 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-        http_req_t *req = wait_held();
+        int fd = connect_to_server();
+        __atomic_store_n(&held_req, NULL, __ATOMIC_RELEASE);
+        send_text(fd,
+                  "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
+                  "GET /later HTTP/1.1\r\nHost: a\r\n\r\n"
+                  "GET /3 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+        http_req_t *req = wait_held_req();
         ck_assert_uint_eq(__atomic_load_n(&handled, __ATOMIC_RELAXED) % 3, 2);
         http_req_reply(req, 200, "text/plain", "second", 6);
         http_req_release(req);
-        hear(fd, &got, SIZE_MAX);
+        receive(fd, &got, SIZE_MAX);
         const char *first = strstr(buf_text(&got), "/1|");
         const char *second = strstr(buf_text(&got), "second");
         const char *third = strstr(buf_text(&got), "/3|");
@@ -219,9 +219,10 @@
 }
 END_TEST
 
-/* A client must be able to tell an answer that was cut from a whole one, and
- * a request that never left from one that may have been acted on. */
-START_TEST(ends_are_told_apart)
+/* A client must be able to distinguish a truncated response from a complete
+ * one, and an unsent request from one that may have been executed.
+ */
+START_TEST(ends_are_distinguished)
 {
     http_server_t *server = start(2);
     CLEAN_BUF buf_t reply = {0};
@@ -237,24 +238,24 @@
     ck_assert_str_eq(buf_text(&reply), "half");
     call.url = url("/later");
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_TIMEOUT);
-    http_req_release(wait_held());
+    http_req_release(wait_held_req());
     call.url = "http://127.0.0.1:1/nobody";
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_UNSENT);
     http_server_stop(server);
 }
 END_TEST
 
-/* A streamed answer that its caller does not read waits where its backlog is
- * seen, and the caller's end is noticed. */
-START_TEST(unread_stream_shows_as_backlog)
+/* A streamed response that the client does not read counts as backlog, and the
+ * client's disconnect is detected. */
+START_TEST(unread_stream_counts_as_backlog)
 {
     http_server_t *server = start(1);
     static char piece[65536];
-    int fd = dial();
+    int fd = connect_to_server();
     int small = 65536;
     (void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof(small));
-    say(fd, "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n");
-    http_req_t *req = wait_held();
+    send_text(fd, "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n");
+    http_req_t *req = wait_held_req();
     http_req_stream(req, 200, "text/plain");
     for (int i = 0; i < 200; i++) {
         http_req_write(req, piece, sizeof(piece));
@@ -274,34 +275,34 @@
 
 typedef struct {
     unsigned ends;
-    unsigned whole;
+    unsigned complete;
     unsigned cancelled;
     buf_t body;
-} seen_t;
+} outcome_t;
 
 static void
 on_data(void *arg, int status, const char *data, size_t len)
 {
-    seen_t *seen = arg;
+    outcome_t *outcome = arg;
     (void)status;
-    buf_add(&seen->body, data, len);
+    buf_add(&outcome->body, data, len);
 }
 
 static void
 on_end(void *arg, http_end_t end, int status)
 {
-    seen_t *seen = arg;
+    outcome_t *outcome = arg;
     (void)status;
-    seen->whole += end == HTTP_END_COMPLETE ? 1 : 0;
-    seen->cancelled += end == HTTP_END_CANCELLED ? 1 : 0;
-    __atomic_add_fetch(&seen->ends, 1, __ATOMIC_RELEASE);
+    outcome->complete += end == HTTP_END_COMPLETE ? 1 : 0;
+    outcome->cancelled += end == HTTP_END_CANCELLED ? 1 : 0;
+    __atomic_add_fetch(&outcome->ends, 1, __ATOMIC_RELEASE);
 }
 
 static void
-wait_ends(const seen_t *seen, unsigned ends)
+wait_ends(const outcome_t *outcome, unsigned ends)
 {
     for (int i = 0; i < 3000; i++) {
-        if (__atomic_load_n(&seen->ends, __ATOMIC_ACQUIRE) == ends) {
+        if (__atomic_load_n(&outcome->ends, __ATOMIC_ACQUIRE) == ends) {
             return;
         }
         time_sleep_ms(1);
@@ -309,60 +310,60 @@
     ck_abort_msg("an exchange did not end");
 }
 
-/* Each exchange ends exactly once: cancelled by its number, by the client's
- * own end, or whole. */
+/* Each exchange ends exactly once: cancelled by its id, cancelled by
+ * http_client_free, or complete. */
 START_TEST(exchanges_end_once)
 {
     http_server_t *server = start(2);
     http_client_t *client = http_client_new(2);
-    seen_t seen = {0};
+    outcome_t outcome = {0};
     http_call_t call = {.method = "GET",
                         .url = url("/later"),
                         .connect_ms = 1000,
                         .on_data = on_data,
                         .on_end = on_end,
-                        .arg = &seen};
+                        .arg = &outcome};
     uint64_t id = http_client_start(client, &call);
-    http_req_release(wait_held());
+    http_req_release(wait_held_req());
     http_client_cancel(client, id);
     http_client_cancel(client, id);
-    wait_ends(&seen, 1);
-    ck_assert_uint_eq(seen.cancelled, 1);
+    wait_ends(&outcome, 1);
+    ck_assert_uint_eq(outcome.cancelled, 1);
     call.url = url("/stream");
-    held = NULL;
+    held_req = NULL;
     (void)http_client_start(client, &call);
-    http_req_t *req = wait_held();
+    http_req_t *req = wait_held_req();
     http_req_stream(req, 200, "text/plain");
     http_req_write(req, "a", 1);
     http_req_write(req, "b", 1);
     http_req_end(req, true);
     http_req_release(req);
-    wait_ends(&seen, 2);
-    ck_assert_uint_eq(seen.whole, 1);
-    ck_assert_str_eq(buf_text(&seen.body), "ab");
-    held = NULL;
+    wait_ends(&outcome, 2);
+    ck_assert_uint_eq(outcome.complete, 1);
+    ck_assert_str_eq(buf_text(&outcome.body), "ab");
+    held_req = NULL;
     call.url = url("/later");
     (void)http_client_start(client, &call);
-    http_req_release(wait_held());
+    http_req_release(wait_held_req());
     http_client_free(client);
-    ck_assert_uint_eq(seen.ends, 3);
-    ck_assert_uint_eq(seen.cancelled, 2);
-    buf_free(&seen.body);
+    ck_assert_uint_eq(outcome.ends, 3);
+    ck_assert_uint_eq(outcome.cancelled, 2);
+    buf_free(&outcome.body);
     http_server_stop(server);
 }
 END_TEST
 
-/* A stop takes nobody in and cuts nobody: a connection that is open gets its
- * answer, which says that it is the last. */
-START_TEST(quiesced_server_answers_what_is_open)
+/* A draining server accepts no connections and aborts none: an open connection
+ * gets its response, with "Connection: close". */
+START_TEST(draining_server_answers_open_requests)
 {
     http_server_t *server = start(2);
     CLEAN_BUF buf_t got = {0};
     struct sockaddr_in to = {.sin_family = AF_INET,
                              .sin_port = htons((uint16_t)port())};
-    int fd = dial();
-    say(fd, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n");
-    http_req_t *req = wait_held();
+    int fd = connect_to_server();
+    send_text(fd, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n");
+    http_req_t *req = wait_held_req();
     http_server_drain(server);
     time_sleep_ms(100);
     int other = socket(AF_INET, SOCK_STREAM, 0);
@@ -370,7 +371,7 @@
     ck_assert_int_ne(connect(other, (struct sockaddr *)&to, sizeof(to)), 0);
     http_req_reply(req, 200, "text/plain", "late", 4);
     http_req_release(req);
-    hear(fd, &got, SIZE_MAX);
+    receive(fd, &got, SIZE_MAX);
     ck_assert(strstr(buf_text(&got), "Connection: close") != NULL);
     ck_assert(strstr(buf_text(&got), "late") != NULL);
     (void)close(fd);
@@ -383,26 +384,27 @@
 }
 END_TEST
 
-/* A body over the limit, in length or in chunks, is told before it is in. */
-START_TEST(long_bodies_are_refused)
+/* A body over the limit, with a length or chunked, is rejected early. */
+START_TEST(long_bodies_are_rejected)
 {
     http_server_t *server = start(1);
     CLEAN_BUF buf_t got = {0};
     CLEAN_BUF buf_t again = {0};
     static char chunk[66000];
-    int fd = dial();
-    say(fd, "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n\r\n");
-    hear(fd, &got, SIZE_MAX);
+    int fd = connect_to_server();
+    send_text(fd,
+              "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n\r\n");
+    receive(fd, &got, SIZE_MAX);
     ck_assert(strstr(buf_text(&got), " 413 ") != NULL);
     ck_assert(strstr(buf_text(&got), "body_too_large") != NULL);
     (void)close(fd);
-    fd = dial();
+    fd = connect_to_server();
     memset(chunk, 'a', sizeof(chunk) - 1);
-    say(fd,
-        "POST /a HTTP/1.1\r\nHost: a\r\n"
-        "Transfer-Encoding: chunked\r\n\r\n101cf\r\n");
-    say(fd, chunk);
-    hear(fd, &again, SIZE_MAX);
+    send_text(fd,
+              "POST /a HTTP/1.1\r\nHost: a\r\n"
+              "Transfer-Encoding: chunked\r\n\r\n101cf\r\n");
+    send_text(fd, chunk);
+    receive(fd, &again, SIZE_MAX);
     ck_assert(strstr(buf_text(&again), " 413 ") != NULL);
     ck_assert_uint_eq(__atomic_load_n(&handled, __ATOMIC_RELAXED), 0);
     (void)close(fd);
@@ -410,8 +412,8 @@
 }
 END_TEST
 
-TEST_MAIN("http-edges", slow_reader_gets_its_whole_answer,
-          request_is_shown_as_it_was, pipelined_requests_keep_their_order,
-          ends_are_told_apart, unread_stream_shows_as_backlog,
-          exchanges_end_once, quiesced_server_answers_what_is_open,
-          long_bodies_are_refused)
+TEST_MAIN("http-edges", slow_reader_gets_the_complete_response,
+          handler_gets_the_request_as_sent,
+          pipelined_requests_keep_their_order, ends_are_distinguished,
+          unread_stream_counts_as_backlog, exchanges_end_once,
+          draining_server_answers_open_requests, long_bodies_are_rejected)
--- a/tests/test-http-reader.c
+++ b/tests/test-http-reader.c
@@ -35,7 +35,7 @@
     buf_free(&feed->body);
 }
 
-/* Take bytes as far as they go. */
+/* Adds bytes and reads until there is no more progress. */
 static reader_state_t
 feed_bytes(feed_t *feed, const char *data, size_t len)
 {
@@ -60,10 +60,10 @@
     return state;
 }
 
-/* A caller hides a second request in the first: router and server disagree on
- * where the first one ends, and the server runs a request that no caller
- * sent.  Whatever two readers can take in two ways is refused. */
-START_TEST(what_can_be_read_in_two_ways_is_refused)
+/* Guards against request smuggling: a caller hides a second request in the
+ * first, router and server disagree on where the first one ends, and the
+ * server runs a request that no caller sent.  Such requests are rejected. */
+START_TEST(ambiguous_requests_are_rejected)
 {
     static const char *const texts[] = {
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n"
@@ -89,13 +89,13 @@
     for (size_t i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
         int status = 0;
         reader_state_t state = read_request(texts[i], &status);
-        ck_assert_msg(state == READER_INVALID, "text %zu was taken", i);
+        ck_assert_msg(state == READER_INVALID, "text %zu was accepted", i);
         ck_assert_int_eq(status, 400);
     }
 }
 END_TEST
 
-START_TEST(a_head_over_the_limit_is_told_so)
+START_TEST(a_head_over_the_limit_gets_431)
 {
     char text[HEAD_MAX * 2];
     int status = 0;
@@ -107,8 +107,8 @@
 }
 END_TEST
 
-/* Bytes of the next request have come with the body of this one.  They stay
- * where they are until this one is answered. */
+/* Bytes of the next request that arrive with the body of this one stay in the
+ * buffer until this one is answered. */
 START_TEST(the_next_request_stays_in_the_buffer)
 {
     static const char text[] =
@@ -149,9 +149,9 @@
 }
 END_TEST
 
-/* A server's answer has no length and its connection breaks.  Only an end
- * that the server made itself makes it whole. */
-START_TEST(an_answer_without_a_length_ends_with_its_connection)
+/* A response without a length is complete when the server closes the
+ * connection.  One with a length is not if the connection ends early. */
+START_TEST(a_response_without_a_length_ends_with_its_connection)
 {
     static const char text[] = "HTTP/1.1 200 OK\r\nX: y\r\n\r\npart";
     feed_t feed;
@@ -170,9 +170,9 @@
 }
 END_TEST
 
-/* Whatever comes, the reader ends in a state and stays within its bounds:
- * seeded damage to whole messages, cut into pieces of random length. */
-START_TEST(damaged_messages_do_no_harm)
+/* For any input the reader terminates and stays within its bounds.  The input
+ * is valid messages with seeded damage, split into pieces of random length. */
+START_TEST(damaged_messages_stay_within_bounds)
 {
     static const char text[] =
         "POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
@@ -204,9 +204,8 @@
 }
 END_TEST
 
-TEST_MAIN("http-reader", what_can_be_read_in_two_ways_is_refused,
-          a_head_over_the_limit_is_told_so,
-          the_next_request_stays_in_the_buffer,
+TEST_MAIN("http-reader", ambiguous_requests_are_rejected,
+          a_head_over_the_limit_gets_431, the_next_request_stays_in_the_buffer,
           a_request_may_come_byte_by_byte,
-          an_answer_without_a_length_ends_with_its_connection,
-          damaged_messages_do_no_harm)
+          a_response_without_a_length_ends_with_its_connection,
+          damaged_messages_stay_within_bounds)
