--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -193,7 +193,7 @@
     for (size_t i = 0; i < 50; i++) {
         datagram.facts[i].is_load = false;
         datagram.facts[i].key = 0xfedcba9876543210ULL;
-        datagram.facts[i].tokens = 2000;
+        datagram.facts[i].prefix_tokens = 2000;
     }
     size_t levels = peer_encode(&datagram, secret, data);
     (void)printf(
@@ -220,13 +220,13 @@
         op->deadline_ms = 1 << 30;
         claim_shard_submit(shard, op);
         for (;;) {
-            claim_act_t act = claim_shard_next(shard, i, 1);
-            if (act.kind == CLAIM_ACT_NONE) {
+            claim_action_t act = claim_shard_next_action(shard, i, 1);
+            if (act.kind == CLAIM_ACTION_NONE) {
                 break;
             }
             store_reply_t reply = {
                 .result = STORE_OK, .version = version, .value = head};
-            if (act.kind == CLAIM_ACT_PUT) {
+            if (act.kind == CLAIM_ACTION_PUT) {
                 CLEAN_TEXT char *text = json_dumps(act.value, JSON_COMPACT);
                 bytes += strlen(text);
                 puts++;
@@ -238,10 +238,10 @@
             else if (head == NULL) {
                 reply.result = STORE_ABSENT;
             }
-            claim_shard_reply(shard, &reply, i);
+            claim_shard_apply_reply(shard, &reply, i);
         }
         claim_op_t *ended;
-        while ((ended = claim_shard_take(shard)) != NULL) {
+        while ((ended = claim_shard_take_completed(shard)) != NULL) {
             claim_op_free(ended);
         }
     }
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -57,7 +57,7 @@
 /* Note in the claim log what came of a claimed call.  The call's lock is
  * held. */
 void
-service_record(call_t *call, claim_kind_t kind, int status)
+service_record(call_t *call, claim_op_kind_t kind, int status)
 {
     service_call_t *service = &call->u.service;
     if (!service->claimed) {
@@ -67,9 +67,9 @@
     claim_op_t *op = claim_op_new(kind, service->key, service->token);
     op->status = status;
     op->deadline_ms = time_mono_ms() + RECORD_WAIT_MS;
-    op->ready_ms = time_mono_ms() + CLAIM_RECORD_DELAY_MS;
+    op->not_before_ms = time_mono_ms() + CLAIM_RECORD_DELAY_MS;
     if (kind == CLAIM_OP_DONE && !service->overflow &&
-        service->reply.len <= CLAIM_BODY_KEPT &&
+        service->reply.len <= CLAIM_BODY_MAX &&
         utf8_is_valid(buf_text(&service->reply), service->reply.len)) {
         op->body = strdup(buf_text(&service->reply));
     }
@@ -287,7 +287,7 @@
     if (op->deadline_ms > call->deadline_ms) {
         op->deadline_ms = call->deadline_ms;
     }
-    op->done = on_claim;
+    op->on_done = on_claim;
     op->arg = call;
     call_hold(call);
     claim_log_submit(call->daemon->claims, op);
--- a/kernel/claim-log.c
+++ b/kernel/claim-log.c
@@ -55,13 +55,13 @@
 {
     for (;;) {
         (void)pthread_mutex_lock(&slot->lock);
-        claim_op_t *op = claim_shard_take(slot->shard);
+        claim_op_t *op = claim_shard_take_completed(slot->shard);
         (void)pthread_mutex_unlock(&slot->lock);
         if (op == NULL) {
             return;
         }
-        if (op->done != NULL) {
-            op->done(op, op->arg);
+        if (op->on_done != NULL) {
+            op->on_done(op, op->arg);
         }
         claim_op_free(op);
     }
@@ -72,7 +72,7 @@
 {
     slot_t *slot = arg;
     (void)pthread_mutex_lock(&slot->lock);
-    claim_shard_reply(slot->shard, reply, time_mono_ms());
+    claim_shard_apply_reply(slot->shard, reply, time_mono_ms());
     (void)pthread_mutex_unlock(&slot->lock);
     slot_pump(slot);
 }
@@ -81,17 +81,17 @@
 slot_pump(slot_t *slot)
 {
     (void)pthread_mutex_lock(&slot->lock);
-    claim_act_t act =
-        claim_shard_next(slot->shard, time_mono_ms(), time_wall_ms());
+    claim_action_t act =
+        claim_shard_next_action(slot->shard, time_mono_ms(), time_wall_ms());
     (void)pthread_mutex_unlock(&slot->lock);
     slot_deliver(slot);
     switch (act.kind) {
-        case CLAIM_ACT_NONE:
+        case CLAIM_ACTION_NONE:
             return;
-        case CLAIM_ACT_GET:
+        case CLAIM_ACTION_GET:
             store_get(slot->log->store, act.object, on_reply, slot);
             return;
-        case CLAIM_ACT_PUT:
+        case CLAIM_ACTION_PUT:
             (void)__atomic_add_fetch(&slot->log->writes, 1, __ATOMIC_RELAXED);
             store_put(slot->log->store, act.object, act.version, act.value,
                       on_reply, slot);
@@ -124,7 +124,7 @@
 }
 
 uint64_t
-claim_log_writes(claim_log_t *log)
+claim_log_write_count(claim_log_t *log)
 {
     return __atomic_load_n(&log->writes, __ATOMIC_RELAXED);
 }
--- a/kernel/claim-op.c
+++ b/kernel/claim-op.c
@@ -8,7 +8,7 @@
 
 /* A new operation; its owner sets deadline, done and arg. */
 claim_op_t *
-claim_op_new(claim_kind_t kind, const char *key, const char *token)
+claim_op_new(claim_op_kind_t kind, const char *key, const char *token)
 {
     claim_op_t *op = mem_zalloc(sizeof(*op));
     op->kind = kind;
@@ -62,7 +62,7 @@
 
 /* Fold a list of entries in, oldest first. */
 void
-claim_fold_entries(json_t *fold, const json_t *entries)
+claim_apply_entries(json_t *fold, const json_t *entries)
 {
     size_t i;
     const json_t *entry;
--- a/kernel/claim-shard.c
+++ b/kernel/claim-shard.c
@@ -78,18 +78,18 @@
     free(shard);
 }
 
-/* Hand an operation in; it comes back by claim_shard_take. */
+/* Hand an operation in; it comes back by claim_shard_take_completed. */
 void
 claim_shard_submit(claim_shard_t *shard, claim_op_t *op)
 {
     op->state = CLAIM_PENDING;
-    op->asked_at = shard->reads;
+    op->head_reads_at_submit = shard->reads;
     CK_STAILQ_INSERT_TAIL(&shard->ops, op, entry);
 }
 
 /* The next operation that has ended, or NULL. */
 claim_op_t *
-claim_shard_take(claim_shard_t *shard)
+claim_shard_take_completed(claim_shard_t *shard)
 {
     claim_op_t *op = CK_STAILQ_FIRST(&shard->ended);
     if (op != NULL) {
@@ -117,9 +117,9 @@
     shard->fold = json_object();
     json_array_foreach (json_object_get(shard->head, "sealed"), i, chunk) {
         const char *name = json_text(chunk, "n");
-        claim_fold_entries(shard->fold, json_object_get(shard->chunks, name));
+        claim_apply_entries(shard->fold, json_object_get(shard->chunks, name));
     }
-    claim_fold_entries(shard->fold, json_object_get(shard->head, "entries"));
+    claim_apply_entries(shard->fold, json_object_get(shard->head, "entries"));
 }
 
 /* The first sealed chunk that has not been read, or NULL. */
@@ -162,7 +162,7 @@
         op_take_outcome(op, have);
         return CLAIM_DONE;
     }
-    if (shard->reads == op->asked_at) {
+    if (shard->reads == op->head_reads_at_submit) {
         *stale = true;
         return CLAIM_PENDING;
     }
@@ -182,7 +182,7 @@
     }
     /* A claim that is not there: the note that it did not run is still
      * written once, because that write fences the claim's own lost one. */
-    if (!mine && !op->maybe) {
+    if (!mine && !op->may_be_written) {
         return CLAIM_RECORDED;
     }
     return CLAIM_PENDING;
@@ -216,7 +216,7 @@
         if (state != CLAIM_PENDING) {
             op_end(shard, op, state);
         }
-        else if (op->ready_ms <= now_ms) {
+        else if (op->not_before_ms <= now_ms) {
             *due = true;
         }
     }
@@ -288,17 +288,17 @@
     (void)json_object_set_new(shard->head, "entries", json_array());
 }
 
-static claim_act_t
+static claim_action_t
 act_get(claim_shard_t *shard, phase_t phase, const char *object)
 {
-    claim_act_t act = {.kind = CLAIM_ACT_GET};
+    claim_action_t act = {.kind = CLAIM_ACTION_GET};
     shard->phase = phase;
     str_copy(act.object, sizeof(act.object), object);
     str_copy(shard->waiting, sizeof(shard->waiting), object);
     return act;
 }
 
-static claim_act_t
+static claim_action_t
 act_read_head(claim_shard_t *shard)
 {
     char name[96];
@@ -306,10 +306,10 @@
     return act_get(shard, PHASE_HEAD, name);
 }
 
-static claim_act_t
+static claim_action_t
 act_seal(claim_shard_t *shard)
 {
-    claim_act_t act = {.kind = CLAIM_ACT_PUT, .version = 0};
+    claim_action_t act = {.kind = CLAIM_ACTION_PUT, .version = 0};
     shard->phase = PHASE_SEAL;
     chunk_name(shard, act.object, sizeof(act.object));
     act.value = json_deep_copy(json_object_get(shard->head, "entries"));
@@ -322,14 +322,14 @@
 {
     claim_op_t *op;
     CK_STAILQ_FOREACH (op, &shard->ops, entry) {
-        op->maybe = true;
+        op->may_be_written = true;
     }
 }
 
-static claim_act_t
+static claim_action_t
 act_put_head(claim_shard_t *shard, int64_t wall_ms)
 {
-    claim_act_t act = {.kind = CLAIM_ACT_PUT, .version = shard->version};
+    claim_action_t act = {.kind = CLAIM_ACTION_PUT, .version = shard->version};
     shard->phase = PHASE_PUT;
     mark_maybe(shard);
     if (shard->sealed_now) {
@@ -353,10 +353,10 @@
         if (op->deadline_ms > now_ms) {
             continue;
         }
-        if (op->kind == CLAIM_OP_CLAIM && op->maybe) {
+        if (op->kind == CLAIM_OP_CLAIM && op->may_be_written) {
             claim_op_t *note =
                 claim_op_new(CLAIM_OP_NOT_RUN, op->key, op->token);
-            note->maybe = true;
+            note->may_be_written = true;
             note->deadline_ms = now_ms + 600000;
             claim_shard_submit(shard, note);
         }
@@ -369,7 +369,7 @@
 {
     claim_op_t *op;
     CK_STAILQ_FOREACH (op, &shard->ops, entry) {
-        if (op->ready_ms <= now_ms) {
+        if (op->not_before_ms <= now_ms) {
             return true;
         }
     }
@@ -378,10 +378,10 @@
 
 /* What is to be asked of the store next; NONE while an answer is awaited or
  * nothing is due.  now_ms is monotonic, wall_ms goes into the log. */
-claim_act_t
-claim_shard_next(claim_shard_t *shard, int64_t now_ms, int64_t wall_ms)
+claim_action_t
+claim_shard_next_action(claim_shard_t *shard, int64_t now_ms, int64_t wall_ms)
 {
-    claim_act_t none = {.kind = CLAIM_ACT_NONE};
+    claim_action_t none = {.kind = CLAIM_ACTION_NONE};
     bool stale = false;
     bool due = false;
     if (shard->phase != PHASE_IDLE) {
@@ -422,7 +422,7 @@
             op->deadline_ms = now_ms;
         }
         else {
-            op->ready_ms = now_ms + CLAIM_RETRY_MS;
+            op->not_before_ms = now_ms + CLAIM_RETRY_MS;
         }
     }
     shard->known = false;
@@ -470,7 +470,7 @@
     claim_op_t *op;
     CK_STAILQ_FOREACH (op, &shard->ops, entry) {
         if (op->kind != CLAIM_OP_CLAIM) {
-            op->maybe = false;
+            op->may_be_written = false;
         }
     }
 }
@@ -498,10 +498,10 @@
     }
 }
 
-/* Take in the store's answer to what claim_shard_next asked for. */
+/* Take in the store's answer to what claim_shard_next_action asked for. */
 void
-claim_shard_reply(claim_shard_t *shard, const store_reply_t *reply,
-                  int64_t now_ms)
+claim_shard_apply_reply(claim_shard_t *shard, const store_reply_t *reply,
+                        int64_t now_ms)
 {
     phase_t phase = shard->phase;
     shard->phase = PHASE_IDLE;
--- a/kernel/claim.h
+++ b/kernel/claim.h
@@ -12,12 +12,16 @@
 
 #define CLAIM_KEY_LEN 32
 #define CLAIM_CHUNK_ENTRIES 256
-#define CLAIM_BODY_KEPT 1024 /* bytes of an answer kept for repeats */
+#define CLAIM_BODY_MAX 1024 /* bytes of an answer kept for repeats */
 #define CLAIM_RETENTION_MS (24LL * 3600 * 1000)
 #define CLAIM_RECORD_DELAY_MS 50
 #define CLAIM_RETRY_MS 200
 
-typedef enum { CLAIM_OP_CLAIM, CLAIM_OP_DONE, CLAIM_OP_NOT_RUN } claim_kind_t;
+typedef enum {
+    CLAIM_OP_CLAIM,
+    CLAIM_OP_DONE,
+    CLAIM_OP_NOT_RUN
+} claim_op_kind_t;
 
 typedef enum {
     CLAIM_PENDING,
@@ -30,45 +34,50 @@
 
 typedef struct claim_op {
     CK_STAILQ_ENTRY(claim_op) entry;
-    claim_kind_t kind;
+    claim_op_kind_t kind;
     char key[CLAIM_KEY_LEN + 1];
     char token[CS_ID_LEN + 1];
     int status; /* of CLAIM_OP_DONE, or out */
     char *body; /* likewise; owned */
     int64_t deadline_ms;
-    int64_t ready_ms;  /* not written before, so that writes gather */
-    uint64_t asked_at; /* the shard's read count when it was submitted */
-    bool maybe;        /* a write that held it may have taken effect */
+    int64_t not_before_ms; /* not written before, so that writes gather */
+    uint64_t head_reads_at_submit; /* the shard's read count when it was
+                                      submitted */
+    bool may_be_written; /* a write that held it may have taken effect */
     claim_state_t state;
-    void (*done)(struct claim_op *op, void *arg);
+    void (*on_done)(struct claim_op *op, void *arg);
     void *arg;
 } claim_op_t;
 
 typedef CK_STAILQ_HEAD(claim_ops, claim_op) claim_ops_t;
 
-typedef enum { CLAIM_ACT_NONE, CLAIM_ACT_GET, CLAIM_ACT_PUT } claim_act_kind_t;
+typedef enum {
+    CLAIM_ACTION_NONE,
+    CLAIM_ACTION_GET,
+    CLAIM_ACTION_PUT
+} claim_action_kind_t;
 
 typedef struct {
-    claim_act_kind_t kind;
+    claim_action_kind_t kind;
     char object[96];
     int64_t version;
     json_t *value; /* of a put; the caller frees it */
-} claim_act_t;
+} claim_action_t;
 
 typedef struct claim_shard claim_shard_t;
 
 claim_shard_t *claim_shard_new(unsigned index);
 void claim_shard_free(claim_shard_t *shard);
 void claim_shard_submit(claim_shard_t *shard, claim_op_t *op);
-claim_act_t claim_shard_next(claim_shard_t *shard, int64_t now_ms,
-                             int64_t wall_ms);
-void claim_shard_reply(claim_shard_t *shard, const store_reply_t *reply,
-                       int64_t now_ms);
-claim_op_t *claim_shard_take(claim_shard_t *shard);
-claim_op_t *claim_op_new(claim_kind_t kind, const char *key,
+claim_action_t claim_shard_next_action(claim_shard_t *shard, int64_t now_ms,
+                                       int64_t wall_ms);
+void claim_shard_apply_reply(claim_shard_t *shard, const store_reply_t *reply,
+                             int64_t now_ms);
+claim_op_t *claim_shard_take_completed(claim_shard_t *shard);
+claim_op_t *claim_op_new(claim_op_kind_t kind, const char *key,
                          const char *token);
 void claim_op_free(claim_op_t *op);
-void claim_fold_entries(json_t *fold, const json_t *entries);
+void claim_apply_entries(json_t *fold, const json_t *entries);
 void claim_key(const char *workspace, const char *service, const char *key,
                char out[CLAIM_KEY_LEN + 1]);
 
@@ -79,6 +88,6 @@
 void claim_log_free(claim_log_t *log);
 void claim_log_submit(claim_log_t *log, claim_op_t *op);
 void claim_log_tick(claim_log_t *log);
-uint64_t claim_log_writes(claim_log_t *log);
+uint64_t claim_log_write_count(claim_log_t *log);
 
 #endif
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -90,7 +90,7 @@
         case STORE_REFUSED:
         case STORE_LOST:
             log_debug("config", "The watch ended: %s.",
-                      store_result_word(result));
+                      store_result_name(result));
             time_sleep_ms(RETRY_MS);
             return;
     }
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -117,7 +117,7 @@
 {
     celeryspoold_t *daemon = arg;
     if (members_duty(daemon->members, "snapshot")) {
-        snapshot_keep(daemon);
+        snapshot_save(daemon);
     }
 }
 
@@ -215,7 +215,7 @@
     if (daemon->peer == NULL) {
         return err_wrap(err, ERR_SETTINGS, 0, "peers cannot be served");
     }
-    snapshot_warm(daemon);
+    snapshot_warm_up(daemon);
     (void)pthread_create(&daemon->ticker, NULL, ticker_run, daemon);
     (void)pthread_create(&daemon->feeder, NULL, feed_run, daemon);
     (void)pthread_create(&daemon->watcher, NULL, config_sync_run, daemon);
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -199,7 +199,7 @@
 
 void service_handle(celeryspoold_t *daemon, http_req_t *req,
                     const workspace_t *workspace, const config_t *config);
-void service_record(call_t *call, claim_kind_t kind, int status);
+void service_record(call_t *call, claim_op_kind_t kind, int status);
 void service_leg_start(call_t *call, const candidate_t *candidate);
 
 /* ---- dispatch ---- */
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -203,7 +203,7 @@
 static void
 take_hosts(celeryspoold_t *daemon)
 {
-    CLEAN_JSON json_t *hosts = store_hosts_wait(daemon->store);
+    CLEAN_JSON json_t *hosts = store_list_hosts_wait(daemon->store);
     size_t i;
     const json_t *host;
     json_array_foreach (hosts, i, host) {
--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -45,8 +45,8 @@
     pack_text(packer, fact->backend);
     if (!fact->is_load) {
         (void)msgpack_pack_uint64(packer, fact->key);
-        (void)msgpack_pack_uint64(packer, fact->tokens);
-        (void)msgpack_pack_uint64(packer, fact->part);
+        (void)msgpack_pack_uint64(packer, fact->prefix_tokens);
+        (void)msgpack_pack_uint64(packer, fact->part_tokens);
         (void)msgpack_pack_int(packer, fact->held ? 1 : 0);
         return;
     }
@@ -90,14 +90,14 @@
 pack_quotas(msgpack_packer *packer, const peer_datagram_t *datagram)
 {
     (void)msgpack_pack_array(packer, QUOTAS_FIELDS);
-    (void)msgpack_pack_int(packer, PEER_QUOTAS);
+    (void)msgpack_pack_int(packer, PEER_USAGES);
     (void)msgpack_pack_array(packer, datagram->usage_count);
     for (size_t i = 0; i < datagram->usage_count; i++) {
         const peer_usage_t *usage = &datagram->usages[i];
         (void)msgpack_pack_array(packer, USAGE_FIELDS);
-        (void)msgpack_pack_uint64(packer, usage->workspace);
-        (void)msgpack_pack_uint64(packer, usage->spent);
-        (void)msgpack_pack_uint64(packer, usage->recent);
+        (void)msgpack_pack_uint64(packer, usage->workspace_hash);
+        (void)msgpack_pack_uint64(packer, usage->total_spent);
+        (void)msgpack_pack_uint64(packer, usage->recent_spent);
     }
     (void)msgpack_pack_uint64(packer, datagram->incarnation);
     (void)msgpack_pack_uint64(packer, datagram->sequence);
@@ -112,11 +112,11 @@
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
         (void)msgpack_pack_array(packer, SERVER_LOAD_FIELDS);
-        (void)msgpack_pack_uint64(packer, load->server);
-        (void)msgpack_pack_uint64(packer, load->unread);
+        (void)msgpack_pack_uint64(packer, load->server_hash);
+        (void)msgpack_pack_uint64(packer, load->prefill_tokens);
         (void)msgpack_pack_uint64(packer, load->running);
-        (void)msgpack_pack_uint64(packer, load->filled);
-        (void)msgpack_pack_uint64(packer, load->sent);
+        (void)msgpack_pack_uint64(packer, load->unshared_tokens);
+        (void)msgpack_pack_uint64(packer, load->sent_tokens);
     }
 }
 
@@ -136,7 +136,7 @@
         case PEER_FACTS:
             pack_facts(&packer, datagram);
             break;
-        case PEER_QUOTAS:
+        case PEER_USAGES:
             pack_quotas(&packer, datagram);
             break;
         case PEER_LOADS:
@@ -226,8 +226,8 @@
         bool good = take_unsigned(&at[1], &fact->key) &&
                     take_unsigned(&at[2], &tokens) &&
                     take_unsigned(&at[3], &part) && take_int(&at[4], &held);
-        fact->tokens = good ? (uint32_t)tokens : 0;
-        fact->part = good ? (uint32_t)part : 0;
+        fact->prefix_tokens = good ? (uint32_t)tokens : 0;
+        fact->part_tokens = good ? (uint32_t)part : 0;
         fact->held = good && held != 0;
         return good;
     }
@@ -262,9 +262,9 @@
     const msgpack_object *at = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == USAGE_FIELDS &&
-           take_unsigned(&at[0], &usage->workspace) &&
-           take_count(&at[1], &usage->spent) &&
-           take_count(&at[2], &usage->recent);
+           take_unsigned(&at[0], &usage->workspace_hash) &&
+           take_count(&at[1], &usage->total_spent) &&
+           take_count(&at[2], &usage->recent_spent);
 }
 
 static bool
@@ -273,11 +273,11 @@
     const msgpack_object *at = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == SERVER_LOAD_FIELDS &&
-           take_count(&at[0], &load->server) &&
-           take_count(&at[1], &load->unread) &&
+           take_count(&at[0], &load->server_hash) &&
+           take_count(&at[1], &load->prefill_tokens) &&
            take_count(&at[2], &load->running) &&
-           take_count(&at[3], &load->filled) &&
-           take_count(&at[4], &load->sent);
+           take_count(&at[3], &load->unshared_tokens) &&
+           take_count(&at[4], &load->sent_tokens);
 }
 
 /* Decode one entry of a datagram's list. */
@@ -292,7 +292,7 @@
         case PEER_FACTS:
             datagram->fact_count = i + 1;
             return i < PEER_FACTS_MAX && take_fact(at, &datagram->facts[i]);
-        case PEER_QUOTAS:
+        case PEER_USAGES:
             datagram->usage_count = i + 1;
             return i < PEER_USAGES_MAX && take_usage(at, &datagram->usages[i]);
         case PEER_LOADS:
@@ -326,7 +326,7 @@
         case PEER_FACTS:
             datagram->fact_count = 0;
             return;
-        case PEER_QUOTAS:
+        case PEER_USAGES:
             datagram->usage_count = 0;
             return;
         case PEER_LOADS:
@@ -363,7 +363,7 @@
     bool members = kind == PEER_MEMBERS && size == MEMBERS_FIELDS &&
                    take_member_head(datagram, at);
     bool facts = kind == PEER_FACTS && size == FACTS_FIELDS;
-    bool quotas = kind == PEER_QUOTAS && size == QUOTAS_FIELDS &&
+    bool quotas = kind == PEER_USAGES && size == QUOTAS_FIELDS &&
                   take_unsigned(&at[2], &datagram->incarnation) &&
                   take_unsigned(&at[3], &datagram->sequence);
     bool loads = kind == PEER_LOADS && size == LOADS_FIELDS;
--- a/kernel/peer-codec.h
+++ b/kernel/peer-codec.h
@@ -18,7 +18,7 @@
 typedef enum {
     PEER_MEMBERS = 1,
     PEER_FACTS = 2,
-    PEER_QUOTAS = 3,
+    PEER_USAGES = 3,
     PEER_LOADS = 4
 } peer_kind_t;
 
@@ -28,25 +28,26 @@
     char backend[CS_NAME_MAX];
     load_report_t load;
     uint64_t key;
-    uint32_t tokens; /* of the prompt up to the end of the part */
-    uint32_t part;   /* of the part alone, 0 where it is not known */
+    uint32_t prefix_tokens; /* of the prompt up to the end of the part */
+    uint32_t part_tokens;   /* of the part alone, 0 where it is not known */
     bool held;
 } peer_fact_t;
 
 /* What the sender has spent of a workspace's limit. */
 typedef struct {
-    uint64_t workspace; /* hash of its name */
-    uint32_t spent;     /* of the sender's lifetime, wraps */
-    uint32_t recent;    /* since its last announcement, wraps below 0 */
+    uint64_t workspace_hash; /* hash of its name */
+    uint32_t total_spent;    /* of the sender's lifetime, wraps */
+    uint32_t recent_spent;   /* since its last announcement, wraps below 0 */
 } peer_usage_t;
 
 /* What the sender has at a server. */
 typedef struct {
-    uint32_t server; /* hash of its id */
-    uint32_t unread; /* prompt tokens */
+    uint32_t server_hash;    /* hash of its id */
+    uint32_t prefill_tokens; /* prompt tokens */
     uint32_t running;
-    uint32_t filled; /* tokens brought into its cache, of all time, wraps */
-    uint32_t sent;   /* tokens given to it to read, of all time, wraps */
+    uint32_t unshared_tokens; /* tokens brought into its cache, of all time,
+                                 wraps */
+    uint32_t sent_tokens; /* tokens given to it to read, of all time, wraps */
 } peer_load_t;
 
 /* Only the content of its kind is there. */
@@ -58,7 +59,7 @@
             peer_fact_t facts[PEER_FACTS_MAX];
             size_t fact_count;
         };
-        struct { /* PEER_QUOTAS */
+        struct { /* PEER_USAGES */
             peer_usage_t usages[PEER_USAGES_MAX];
             size_t usage_count;
             uint64_t incarnation; /* of the sender */
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -98,7 +98,8 @@
         feed_take_load(daemon, fact->backend, &fact->load);
     }
     else if (fact->held) {
-        (void)cache_map_note(daemon->cache, id, fact->key, fact->tokens);
+        (void)cache_map_note(daemon->cache, id, fact->key,
+                             fact->prefix_tokens);
     }
     else {
         (void)cache_map_drop(daemon->cache, id, fact->key);
@@ -138,7 +139,7 @@
             }
             dispatch_run(daemon);
             return;
-        case PEER_QUOTAS:
+        case PEER_USAGES:
         case PEER_LOADS:
             return;
     }
@@ -274,7 +275,7 @@
 answer_of(celeryspoold_t *daemon, const char *kind)
 {
     if (strcmp(kind, "snapshot") == 0) {
-        return snapshot_make(daemon, SNAPSHOT_PEER_FACTS);
+        return snapshot_make(daemon, SNAPSHOT_PEER_FACTS_MAX);
     }
     if (strcmp(kind, "config") == 0) {
         config_t *config = daemon_config(daemon);
@@ -403,7 +404,7 @@
 peer_tell_cached(peer_t *peer, const char *backend, uint64_t key,
                  uint32_t tokens, bool held)
 {
-    peer_fact_t fact = {.key = key, .tokens = tokens, .held = held};
+    peer_fact_t fact = {.key = key, .prefix_tokens = tokens, .held = held};
     str_copy(fact.backend, sizeof(fact.backend), backend);
     add_fact(peer, &fact);
 }
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -108,12 +108,13 @@
                   (double)members_live(daemon->members));
     metrics_gauge(&text, "cache_map_entries",
                   (double)cache_map_size(daemon->cache));
-    metrics_gauge(&text, "store_calls", (double)store_calls(daemon->store));
+    metrics_gauge(&text, "store_calls",
+                  (double)store_call_count(daemon->store));
     peer_bytes(daemon->peer, &sent, &received);
     metrics_gauge(&text, "peer_bytes_sent", (double)sent);
     metrics_gauge(&text, "peer_bytes_received", (double)received);
     metrics_gauge(&text, "claim_writes",
-                  (double)claim_log_writes(daemon->claims));
+                  (double)claim_log_write_count(daemon->claims));
     config_release(config);
     http_req_reply(req, 200, "text/plain; version=0.0.4", buf_text(&text),
                    text.len);
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -94,7 +94,7 @@
 /* Take a snapshot in: loads first, so that a server that has changed since
  * is noticed and its facts are forgotten with the next report. */
 void
-snapshot_take(celeryspoold_t *daemon, json_t *snapshot, const char *source)
+snapshot_apply(celeryspoold_t *daemon, json_t *snapshot, const char *source)
 {
     size_t i;
     const json_t *item;
@@ -116,9 +116,10 @@
 /* Keep a small snapshot in the store, for a restart of all daemons at once;
  * called on the one that has the duty.  Unconditional: the newest wins. */
 void
-snapshot_keep(celeryspoold_t *daemon)
+snapshot_save(celeryspoold_t *daemon)
 {
-    CLEAN_JSON json_t *snapshot = snapshot_make(daemon, SNAPSHOT_STORE_FACTS);
+    CLEAN_JSON json_t *snapshot =
+        snapshot_make(daemon, SNAPSHOT_STORE_FACTS_MAX);
     int64_t version = 0;
     if (store_get_wait(daemon->store, SNAPSHOT_OBJECT, &version, NULL) <=
         STORE_ABSENT) {
@@ -141,7 +142,7 @@
         if (snapshot == NULL) {
             continue;
         }
-        snapshot_take(daemon, snapshot, settings->seeds[i]);
+        snapshot_apply(daemon, snapshot, settings->seeds[i]);
         if (json_flag(snapshot, "warm")) {
             return true;
         }
@@ -152,7 +153,7 @@
 /* Warm up: from a peer that is warm itself, else from the store, after a
  * random pause, so that a herd does not ask it all at once. */
 void
-snapshot_warm(celeryspoold_t *daemon)
+snapshot_warm_up(celeryspoold_t *daemon)
 {
     if (warm_from_peers(daemon)) {
         return;
@@ -163,6 +164,6 @@
     int64_t version = 0;
     if (store_get_wait(daemon->store, SNAPSHOT_OBJECT, &version, &snapshot) ==
         STORE_OK) {
-        snapshot_take(daemon, snapshot, "the store");
+        snapshot_apply(daemon, snapshot, "the store");
     }
 }
--- a/kernel/snapshot.h
+++ b/kernel/snapshot.h
@@ -7,13 +7,13 @@
 #include "daemon.h"
 
 #define SNAPSHOT_OBJECT "snapshots/main"
-#define SNAPSHOT_PEER_FACTS 4096
-#define SNAPSHOT_STORE_FACTS 512
+#define SNAPSHOT_PEER_FACTS_MAX 4096
+#define SNAPSHOT_STORE_FACTS_MAX 512
 
 json_t *snapshot_make(celeryspoold_t *daemon, size_t facts_max);
-void snapshot_take(celeryspoold_t *daemon, json_t *snapshot,
-                   const char *source);
-void snapshot_keep(celeryspoold_t *daemon);
-void snapshot_warm(celeryspoold_t *daemon);
+void snapshot_apply(celeryspoold_t *daemon, json_t *snapshot,
+                    const char *source);
+void snapshot_save(celeryspoold_t *daemon);
+void snapshot_warm_up(celeryspoold_t *daemon);
 
 #endif
--- a/kernel/store.c
+++ b/kernel/store.c
@@ -33,13 +33,13 @@
 
 /* Calls made so far, watches among them. */
 uint64_t
-store_calls(const store_t *store)
+store_call_count(const store_t *store)
 {
     return ck_pr_load_64(&store->calls);
 }
 
 const char *
-store_result_word(store_result_t result)
+store_result_name(store_result_t result)
 {
     static const char *const words[] = {"ok", "absent", "conflict", "refused",
                                         "lost"};
@@ -94,7 +94,7 @@
 /* One asynchronous exchange. */
 typedef struct {
     buf_t body;
-    store_done_t done;
+    store_callback_t done;
     void *arg;
 } ask_t;
 
@@ -134,7 +134,7 @@
 }
 
 static void
-start(store_t *store, http_call_t *call, store_done_t done, void *arg)
+start(store_t *store, http_call_t *call, store_callback_t done, void *arg)
 {
     ask_t *ask = mem_zalloc(sizeof(*ask));
     ask->done = done;
@@ -147,7 +147,7 @@
 
 /* Read an object; done is called on a client thread. */
 void
-store_get(store_t *store, const char *name, store_done_t done, void *arg)
+store_get(store_t *store, const char *name, store_callback_t done, void *arg)
 {
     char url[URL_MAX];
     url_of(store, name, url);
@@ -169,7 +169,7 @@
  * whether the write was done. */
 void
 store_put(store_t *store, const char *name, int64_t version,
-          const json_t *value, store_done_t done, void *arg)
+          const json_t *value, store_callback_t done, void *arg)
 {
     char url[URL_MAX];
     char match[48];
@@ -241,7 +241,7 @@
 
 /* The platform's list of hosts, or NULL. */
 json_t *
-store_hosts_wait(store_t *store)
+store_list_hosts_wait(store_t *store)
 {
     char url[URL_MAX];
     CLEAN_BUF buf_t body = {0};
--- a/kernel/store.h
+++ b/kernel/store.h
@@ -21,15 +21,16 @@
     json_t *value; /* of a read; the receiver borrows it */
 } store_reply_t;
 
-typedef void (*store_done_t)(void *arg, const store_reply_t *reply);
+typedef void (*store_callback_t)(void *arg, const store_reply_t *reply);
 
 typedef struct store store_t;
 
 store_t *store_new(http_client_t *client, const char *addr, int timeout_ms);
 void store_free(store_t *store);
-void store_get(store_t *store, const char *name, store_done_t done, void *arg);
+void store_get(store_t *store, const char *name, store_callback_t done,
+               void *arg);
 void store_put(store_t *store, const char *name, int64_t version,
-               const json_t *value, store_done_t done, void *arg);
+               const json_t *value, store_callback_t done, void *arg);
 /* These block the calling thread. */
 store_result_t store_get_wait(store_t *store, const char *name,
                               int64_t *version, json_t **value);
@@ -39,8 +40,8 @@
 store_result_t store_put_wait(store_t *store, const char *name,
                               int64_t expected, const json_t *value,
                               int64_t *version);
-json_t *store_hosts_wait(store_t *store);
-const char *store_result_word(store_result_t result);
-uint64_t store_calls(const store_t *store);
+json_t *store_list_hosts_wait(store_t *store);
+const char *store_result_name(store_result_t result);
+uint64_t store_call_count(const store_t *store);
 
 #endif
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -49,11 +49,11 @@
         server->announced_ms = now_ms;
         server->announced_sent = server->sent;
         out->loads[out->load_count++] =
-            (peer_load_t){.server = server->key,
-                          .unread = (uint32_t)server->own_unread,
+            (peer_load_t){.server_hash = server->key,
+                          .prefill_tokens = (uint32_t)server->own_unread,
                           .running = (uint32_t)server->own_running,
-                          .filled = server->filled,
-                          .sent = server->sent};
+                          .unshared_tokens = server->filled,
+                          .sent_tokens = server->sent};
     }
     return out->load_count > 0;
 }
@@ -65,16 +65,16 @@
 {
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
-        server_t *server = servers_keyed(servers, load->server);
+        server_t *server = servers_keyed(servers, load->server_hash);
         if (server == NULL) {
             continue;
         }
         const other_load_t report = {.host = host,
                                      .received_ms = now_ms,
-                                     .unread = load->unread,
+                                     .unread = load->prefill_tokens,
                                      .running = (int)load->running,
-                                     .filled = load->filled,
-                                     .sent = load->sent};
+                                     .filled = load->unshared_tokens,
+                                     .sent = load->sent_tokens};
         server_peer_load(server, &report);
     }
 }
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -51,7 +51,8 @@
         take_load(relay, host, fact);
         return;
     }
-    const cached_part_t part = {fact->key, fact->tokens, fact->part};
+    const cached_part_t part = {fact->key, fact->prefix_tokens,
+                                fact->part_tokens};
     if (!fact->held) {
         cache_evicted(relay, fact->backend, fact->key);
         return;
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -74,8 +74,8 @@
 peers_held_fact(const char *holder, const cached_part_t *part)
 {
     peer_fact_t fact = {.key = part->key,
-                        .tokens = part->prompt_tokens,
-                        .part = part->tokens,
+                        .prefix_tokens = part->prompt_tokens,
+                        .part_tokens = part->tokens,
                         .held = true};
     str_copy(fact.backend, sizeof(fact.backend), holder);
     return fact;
@@ -160,7 +160,7 @@
         case PEER_FACTS:
             apply_facts(peers, from);
             return;
-        case PEER_QUOTAS:
+        case PEER_USAGES:
             quotas_apply(&relay->quotas, host, datagram, now);
             return;
         case PEER_LOADS:
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -445,7 +445,7 @@
 apply_usage(quotas_t *quotas, const quota_host_t *host,
             const peer_usage_t *usage, int64_t now_ms)
 {
-    quota_t *quota = find_hash(quotas, usage->workspace);
+    quota_t *quota = find_hash(quotas, usage->workspace_hash);
     if (quota == NULL) {
         return;
     }
@@ -454,10 +454,10 @@
     }
     quota_report_t *last = &quota->reports[host - quotas->hosts];
     uint32_t since = last->contact == host->contact
-                         ? usage->spent - last->spent
-                         : usage->recent;
+                         ? usage->total_spent - last->spent
+                         : usage->recent_spent;
     double delta = (double)(int32_t)since;
-    *last = (quota_report_t){usage->spent, host->contact};
+    *last = (quota_report_t){usage->total_spent, host->contact};
     quota_advance(quotas, quota, now_ms);
     quota->level -= delta;
     quota->others_sum += delta;
@@ -514,7 +514,7 @@
         return false;
     }
     quotas->announced_ms = now_ms;
-    out->kind = PEER_QUOTAS;
+    out->kind = PEER_USAGES;
     out->incarnation = quotas->incarnation;
     out->sequence = ++quotas->sequence;
     out->usage_count = 0;
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -153,7 +153,8 @@
 {
     server_t *server;
     relay_t *relay = relay_with("a", &server);
-    peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
+    peer_fact_t fact = {
+        .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
     ck_assert(cached_parts_has(server->held, 5));
--- a/tests/test-claim.c
+++ b/tests/test-claim.c
@@ -25,7 +25,7 @@
     int64_t answer_at;
     bool applied;
     bool lost;
-    claim_act_t act;
+    claim_action_t act;
     store_reply_t reply;
     json_t *value;
 } flight_t;
@@ -54,7 +54,7 @@
 static void
 store_apply(world_t *world, flight_t *flight)
 {
-    claim_act_t *act = &flight->act;
+    claim_action_t *act = &flight->act;
     json_t *object = json_object_get(world->objects, act->object);
     int64_t have = json_int(object, "version", 0);
     flight->applied = true;
@@ -62,7 +62,7 @@
         flight->reply.result = STORE_REFUSED;
         return;
     }
-    if (act->kind == CLAIM_ACT_GET) {
+    if (act->kind == CLAIM_ACTION_GET) {
         flight->reply.result = object == NULL ? STORE_ABSENT : STORE_OK;
         flight->reply.version = have;
         flight->value = json_deep_copy(json_object_get(object, "value"));
@@ -109,7 +109,7 @@
     claim_op_t *record = claim_op_new(CLAIM_OP_DONE, won->key, won->token);
     record->status = 200;
     record->deadline_ms = world->now + 100000;
-    record->ready_ms = world->now + 50;
+    record->not_before_ms = world->now + 50;
     claim_shard_submit(host->shard, record);
 }
 
@@ -117,7 +117,8 @@
 take_ended(world_t *world, int daemon)
 {
     claim_op_t *op;
-    while ((op = claim_shard_take(world->hosts[daemon].shard)) != NULL) {
+    while ((op = claim_shard_take_completed(world->hosts[daemon].shard)) !=
+           NULL) {
         if (op->kind == CLAIM_OP_CLAIM) {
             switch (op->state) {
                 case CLAIM_WON:
@@ -147,7 +148,7 @@
             flight->reply = (store_reply_t){.result = STORE_LOST};
         }
         flight->reply.value = flight->value;
-        claim_shard_reply(host->shard, &flight->reply, world->now);
+        claim_shard_apply_reply(host->shard, &flight->reply, world->now);
         host->asking = false;
     }
     json_decref(flight->value);
@@ -177,7 +178,7 @@
             /* The answer is not waited for any longer; the write may come
              * later all the same. */
             store_reply_t lost = {.result = STORE_LOST};
-            claim_shard_reply(host->shard, &lost, world->now);
+            claim_shard_apply_reply(host->shard, &lost, world->now);
             host->asking = false;
             flight->life = -1;
         }
@@ -185,7 +186,7 @@
 }
 
 static void
-launch(world_t *world, int daemon, claim_act_t act)
+launch(world_t *world, int daemon, claim_action_t act)
 {
     for (int i = 0; i < FLIGHT_MAX; i++) {
         flight_t *flight = &world->flights[i];
@@ -264,10 +265,10 @@
         if (world->now < host->frozen_until || host->asking) {
             continue;
         }
-        claim_act_t act =
-            claim_shard_next(host->shard, world->now, world->now);
+        claim_action_t act =
+            claim_shard_next_action(host->shard, world->now, world->now);
         take_ended(world, i);
-        if (act.kind != CLAIM_ACT_NONE) {
+        if (act.kind != CLAIM_ACTION_NONE) {
             launch(world, i, act);
         }
     }
@@ -348,14 +349,15 @@
 {
     for (int i = 0; i < 2000; i++) {
         world->now += 60;
-        claim_act_t act = claim_shard_next(shard, world->now, world->now);
-        if (act.kind == CLAIM_ACT_NONE) {
+        claim_action_t act =
+            claim_shard_next_action(shard, world->now, world->now);
+        if (act.kind == CLAIM_ACTION_NONE) {
             return;
         }
         flight_t flight = {.act = act};
         store_apply(world, &flight);
         flight.reply.value = flight.value;
-        claim_shard_reply(shard, &flight.reply, world->now);
+        claim_shard_apply_reply(shard, &flight.reply, world->now);
         json_decref(flight.value);
         json_decref(act.value);
     }
@@ -370,7 +372,7 @@
     op->deadline_ms = world->now + 1000000;
     claim_shard_submit(shard, op);
     settle(shard, world);
-    claim_op_t *ended = claim_shard_take(shard);
+    claim_op_t *ended = claim_shard_take_completed(shard);
     ck_assert_ptr_eq(ended, op);
     claim_state_t state = ended->state;
     claim_op_free(ended);
@@ -410,10 +412,10 @@
     store_reply_t refused = {.result = STORE_REFUSED};
     op->deadline_ms = 100000;
     claim_shard_submit(shard, op);
-    claim_act_t act = claim_shard_next(shard, 10, 10);
-    ck_assert_int_eq(act.kind, CLAIM_ACT_GET);
-    claim_shard_reply(shard, &refused, 12);
-    claim_op_t *ended = claim_shard_take(shard);
+    claim_action_t act = claim_shard_next_action(shard, 10, 10);
+    ck_assert_int_eq(act.kind, CLAIM_ACTION_GET);
+    claim_shard_apply_reply(shard, &refused, 12);
+    claim_op_t *ended = claim_shard_take_completed(shard);
     ck_assert_ptr_eq(ended, op);
     ck_assert_int_eq(ended->state, CLAIM_UNAVAILABLE);
     claim_op_free(ended);
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -328,7 +328,7 @@
     static peer_datagram_t out;
     unsigned char data[PEER_DATAGRAM_MAX];
     datagram = (peer_datagram_t){
-        .kind = PEER_QUOTAS, .incarnation = 1ULL << 40, .sequence = 3};
+        .kind = PEER_USAGES, .incarnation = 1ULL << 40, .sequence = 3};
     for (size_t i = 0; i < PEER_USAGES_MAX; i++) {
         datagram.usages[i] = (peer_usage_t){
             UINT64_MAX - i, UINT32_MAX - (uint32_t)i, (uint32_t)-5};
@@ -337,7 +337,7 @@
     size_t len = peer_encode(&datagram, secret, data);
     ck_assert_uint_gt(len, 0);
     ck_assert_int_eq(peer_decode(&out, secret, data, len), 0);
-    ck_assert_int_eq(out.kind, PEER_QUOTAS);
+    ck_assert_int_eq(out.kind, PEER_USAGES);
     ck_assert_uint_eq(out.incarnation, datagram.incarnation);
     ck_assert_uint_eq(out.sequence, 3);
     ck_assert_uint_eq(out.usage_count, PEER_USAGES_MAX);
--- a/tests/test-peer-loads.c
+++ b/tests/test-peer-loads.c
@@ -104,7 +104,8 @@
     static peer_datagram_t datagram = {.kind = PEER_LOADS, .load_count = 1};
     servers_t *servers = servers_new();
     server_t *server = put_engine(servers, "e1");
-    datagram.loads[0] = (peer_load_t){.server = server->key + 1, .unread = 5};
+    datagram.loads[0] =
+        (peer_load_t){.server_hash = server->key + 1, .prefill_tokens = 5};
     peer_loads_apply(servers, 1, &datagram, 10);
     ck_assert_double_eq(server_others_unread(server, 10), 0);
     servers_free(servers);
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -42,12 +42,13 @@
 {
     server_t *server;
     relay_t *relay = relay_with("a", &server);
-    peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
+    peer_fact_t fact = {
+        .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
     ck_assert(cached_parts_has(server->held, 5));
     fact.key = 6;
-    fact.part = 0;
+    fact.part_tokens = 0;
     peers_apply(relay, 1, &fact);
     ck_assert(!cached_parts_has(server->held, 6));
     ck_assert(cache_map_knows(relay->cache, 6));
@@ -61,7 +62,8 @@
 {
     server_t *server;
     relay_t *relay = relay_with("a", &server);
-    peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
+    peer_fact_t fact = {
+        .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     peers_apply(relay, 1, &fact);
     str_copy(fact.backend, sizeof(fact.backend), "b");
     peers_apply(relay, 1, &fact);
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -115,7 +115,7 @@
 static void
 sim_deliver(sim_t *sim, int64_t now)
 {
-    static peer_datagram_t arrived = {.kind = PEER_QUOTAS};
+    static peer_datagram_t arrived = {.kind = PEER_USAGES};
     size_t kept = 0;
     for (size_t i = 0; i < sim->flight_count; i++) {
         flight_t *flight = &sim->flights[i];
@@ -419,15 +419,15 @@
     quotas_config_end(&quotas);
     quota_t *quota = quotas_find(&quotas, SPACE);
     static peer_datagram_t first = {
-        .kind = PEER_QUOTAS, .incarnation = 5, .sequence = 1};
+        .kind = PEER_USAGES, .incarnation = 5, .sequence = 1};
     quotas_apply(&quotas, 7, &first, 20000);
     (void)quota_available(&quotas, quota, 30000);
-    static peer_datagram_t second = {.kind = PEER_QUOTAS,
+    static peer_datagram_t second = {.kind = PEER_USAGES,
                                      .incarnation = 5,
                                      .sequence = 3,
                                      .usage_count = 1};
     second.usages[0] = (peer_usage_t){quota->workspace, 400, 400};
-    static peer_datagram_t late = {.kind = PEER_QUOTAS,
+    static peer_datagram_t late = {.kind = PEER_USAGES,
                                    .incarnation = 5,
                                    .sequence = 2,
                                    .usage_count = 1};
@@ -448,7 +448,7 @@
 {
     quotas_t quotas;
     const quota_limit_t limit = {1000, 1000};
-    static peer_datagram_t datagram = {.kind = PEER_QUOTAS,
+    static peer_datagram_t datagram = {.kind = PEER_USAGES,
                                        .incarnation = 500,
                                        .sequence = 9,
                                        .usage_count = 1};
