--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -3,25 +3,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The messages of membership: what news rides on them, and what one that
- * arrives changes. */
+/* Membership messages: which records they carry, and how a received one
+ * changes the table. */
 
-#define NEWS_A_MESSAGE 6
-#define YOUNG_MS 2500
+#define GOSSIP_RECORDS_MAX 6 /* of one message, the sender's among them */
+#define SYNC_WINDOW_MS 2500  /* how long a new member gets full syncs */
 
-/* The record that has been passed on least; NULL where there is no news. */
+/* The record that has been gossiped least and is not in the message yet; NULL
+ * if there is none left to gossip. */
 static member_node_t *
-next_news(members_t *members, const member_message_t *message)
+next_gossip(members_t *members, const member_message_t *message)
 {
     member_node_t *best = NULL;
     member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
-        bool there = false;
-        for (size_t i = 0; i < message->count && !there; i++) {
-            there = strcmp(message->records[i].name, node->member.name) == 0;
+        bool included = false;
+        for (size_t i = 0; i < message->count && !included; i++) {
+            included =
+                strcmp(message->records[i].name, node->member.name) == 0;
         }
-        if (node->news_left > 0 && !there &&
-            (best == NULL || node->news_left > best->news_left)) {
+        if (node->gossip_left > 0 && !included &&
+            (best == NULL || node->gossip_left > best->gossip_left)) {
             best = node;
         }
     }
@@ -29,18 +31,18 @@
 }
 
 static void
-add_news(members_t *members, member_message_t *message)
+add_gossip(members_t *members, member_message_t *message)
 {
     member_node_t *node;
-    while (message->count < NEWS_A_MESSAGE &&
-           (node = next_news(members, message)) != NULL) {
-        node->news_left--;
+    while (message->count < GOSSIP_RECORDS_MAX &&
+           (node = next_gossip(members, message)) != NULL) {
+        node->gossip_left--;
         message->records[message->count++] = node->member;
     }
 }
 
 member_message_t *
-members_message_add(members_t *members, member_out_t *out, const char *addr,
+members_add_message(members_t *members, member_out_t *out, const char *addr,
                     member_message_kind_t kind, uint64_t sequence)
 {
     if (out->count == MEMBER_OUT_MAX) {
@@ -57,10 +59,10 @@
     return message;
 }
 
-/* Whoever is not thought well is told so first, for only its own denial can
- * clear it (Dadgar, Phillips, Currey: Lifeguard). */
+/* Tells the recipient first if it is suspected or declared dead, because only
+ * it can refute that (Dadgar, Phillips, Currey: Lifeguard). */
 static void
-add_accusation(member_message_t *message, const member_node_t *node)
+add_suspicion(member_message_t *message, const member_node_t *node)
 {
     if (node != NULL && node->member.health != MEMBER_ALIVE) {
         message->records[message->count++] = node->member;
@@ -68,33 +70,33 @@
 }
 
 void
-members_ping_addr(members_t *members, member_out_t *out, const char *addr,
-                  const member_node_t *node, uint64_t sequence)
+members_add_ping_to(members_t *members, member_out_t *out, const char *addr,
+                    const member_node_t *node, uint64_t sequence)
 {
     member_message_t *message =
-        members_message_add(members, out, addr, MEMBER_PING, sequence);
+        members_add_message(members, out, addr, MEMBER_PING, sequence);
     if (message != NULL) {
-        add_accusation(message, node);
-        add_news(members, message);
+        add_suspicion(message, node);
+        add_gossip(members, message);
     }
 }
 
 void
-members_ping(members_t *members, member_out_t *out, const member_node_t *node,
-             uint64_t sequence)
+members_add_ping(members_t *members, member_out_t *out,
+                 const member_node_t *node, uint64_t sequence)
 {
-    members_ping_addr(members, out, node->member.peer, node, sequence);
+    members_add_ping_to(members, out, node->member.peer, node, sequence);
 }
 
-/* All records, in as many messages as they need, for one that is new. */
+/* Adds all records, in as many messages as they need, for a new member. */
 static void
-sync_all(members_t *members, member_out_t *out, const char *addr)
+add_full_sync(members_t *members, member_out_t *out, const char *addr)
 {
     member_message_t *message = NULL;
     member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
         if (message == NULL || message->count == MEMBER_RECORDS_MAX) {
-            message = members_message_add(members, out, addr, MEMBER_SYNC, 0);
+            message = members_add_message(members, out, addr, MEMBER_SYNC, 0);
         }
         if (message == NULL) {
             return;
@@ -103,8 +105,8 @@
     }
 }
 
-/* Whether a record is newer: a later life, a higher version by its subject,
- * or, at the same version, a worse health. */
+/* Whether record a is newer than b: a later incarnation, a higher version set
+ * by its subject or, at the same version, a worse health. */
 static bool
 is_newer(const member_t *a, const member_t *b)
 {
@@ -117,9 +119,10 @@
     return a->health > b->health;
 }
 
-/* Others say that this daemon is not well: deny it by a higher version. */
+/* Refutes a record that has this daemon as suspect or dead, by a higher
+ * version of its own record. */
 static void
-deny(members_t *members, const member_t *record)
+refute(members_t *members, const member_t *record)
 {
     if (record->incarnation == members->self.incarnation &&
         record->version >= members->self.version &&
@@ -128,38 +131,41 @@
     }
 }
 
-/* Take a record in; true if its subject is new here, or lives anew. */
+/* Applies a record; true if its subject is new to this table or has a new
+ * incarnation. */
 static bool
-take_record(members_t *members, const member_t *record, int64_t now_ms)
+apply_record(members_t *members, const member_t *record, int64_t now_ms)
 {
     if (strcmp(record->name, members->self.name) == 0) {
-        deny(members, record);
+        refute(members, record);
         return false;
     }
     member_node_t *node = members_find(members, record->name);
-    bool anew = node == NULL || record->incarnation > node->member.incarnation;
+    bool is_new =
+        node == NULL || record->incarnation > node->member.incarnation;
     if (node == NULL) {
         node = mem_zalloc(sizeof(*node));
-        node->order = 1 + (rng_next(&members->rng) >> 1);
+        node->probe_order = 1 + (rng_next(&members->rng) >> 1);
         CK_LIST_INSERT_HEAD(&members->list, node, entry);
         members->count++;
     }
     else if (!is_newer(record, &node->member)) {
         return false;
     }
-    if (anew) {
-        node->since_ms = now_ms;
+    if (is_new) {
+        node->incarnation_received_ms = now_ms;
     }
     node->member = *record;
     node->member.changed_ms = now_ms;
-    node->verified = 0;
-    node->news_left = members_news_times(members);
-    return anew;
+    node->verify_count = 0;
+    node->gossip_left = members_gossip_limit(members);
+    return is_new;
 }
 
-/* The sender speaks for itself, so it is alive, whatever was thought. */
+/* Updates the sender's generation, and schedules gossip of a suspicion that
+ * the sender has not refuted yet. */
 static void
-hear_sender(members_t *members, const member_t *record)
+update_sender(members_t *members, const member_t *record)
 {
     member_node_t *node = members_find(members, record->name);
     if (node == NULL || record->incarnation != node->member.incarnation) {
@@ -168,73 +174,77 @@
     if (record->generation > node->member.generation) {
         node->member.generation = record->generation;
     }
-    /* It has to learn of the suspicion to deny it for all. */
+    /* The sender has to receive the suspicion to refute it. */
     if (node->member.health != MEMBER_ALIVE &&
         record->version <= node->member.version) {
-        node->news_left = node->news_left > 0 ? node->news_left : 1;
+        node->gossip_left = node->gossip_left > 0 ? node->gossip_left : 1;
     }
 }
 
 static void
-answer_ping(members_t *members, const member_message_t *message,
+handle_ping(members_t *members, const member_message_t *message,
             member_out_t *out)
 {
     const member_t *sender = &message->records[0];
-    member_message_t *ack = members_message_add(members, out, sender->peer,
+    member_message_t *ack = members_add_message(members, out, sender->peer,
                                                 MEMBER_ACK, message->sequence);
     member_node_t *node = members_find(members, sender->name);
     if (ack == NULL) {
         return;
     }
-    add_accusation(ack, node);
-    add_news(members, ack);
+    add_suspicion(ack, node);
+    add_gossip(members, ack);
 }
 
 static void
-take_ack(members_t *members, uint64_t sequence, member_out_t *out)
+handle_ack(members_t *members, uint64_t sequence, member_out_t *out)
 {
-    if (sequence == members->probe) {
-        members->probed[0] = '\0';
+    if (sequence == members->probe_sequence) {
+        members->probed_name[0] = '\0';
     }
-    for (size_t i = 0; i < RELAYS_MAX; i++) {
-        relay_t *relay = &members->relays[i];
+    for (size_t i = 0; i < RELAYED_PINGS_MAX; i++) {
+        relayed_ping_t *relay = &members->relayed_pings[i];
         if (relay->sequence == sequence && sequence != 0) {
-            (void)members_message_add(members, out, relay->asker, MEMBER_ACK,
-                                      relay->wanted);
+            (void)members_add_message(members, out, relay->requester_addr,
+                                      MEMBER_ACK, relay->requester_sequence);
             relay->sequence = 0;
         }
     }
 }
 
 static void
-take_ask(members_t *members, const member_message_t *message,
-         member_out_t *out)
+handle_ping_req(members_t *members, const member_message_t *message,
+                member_out_t *out)
 {
     member_node_t *node = members_find(members, message->target);
-    relay_t *relay = &members->relays[members->relay_next++ % RELAYS_MAX];
+    relayed_ping_t *relay =
+        &members->relayed_pings[members->relayed_ping_count++ %
+                                RELAYED_PINGS_MAX];
     if (node == NULL) {
         return;
     }
-    relay->sequence = ++members->sequence;
-    relay->wanted = message->sequence;
-    str_copy(relay->asker, sizeof(relay->asker), message->records[0].peer);
-    members_ping(members, out, node, relay->sequence);
+    relay->sequence = ++members->last_sequence;
+    relay->requester_sequence = message->sequence;
+    str_copy(relay->requester_addr, sizeof(relay->requester_addr),
+             message->records[0].peer);
+    members_add_ping(members, out, node, relay->sequence);
 }
 
-/* Whether a sender is told all: it is new here, or it is young and asks.  When
- * a whole fleet has just started, what the first answer could tell is little.
- */
+/* Whether a sender gets all records: it is new to this table, or has been for
+ * a short time and pings.  Once is not enough: while a whole fleet starts, the
+ * first answer can list only a few members. */
 static bool
-wants_all(members_t *members, const member_message_t *message, bool anew,
-          int64_t now_ms)
+needs_full_sync(members_t *members, const member_message_t *message,
+                bool is_new, int64_t now_ms)
 {
     const member_node_t *node =
         members_find(members, message->records[0].name);
-    bool young = node != NULL && now_ms - node->since_ms < YOUNG_MS;
-    return anew || (young && message->kind == MEMBER_PING);
+    bool is_recent = node != NULL &&
+                     now_ms - node->incarnation_received_ms < SYNC_WINDOW_MS;
+    return is_new || (is_recent && message->kind == MEMBER_PING);
 }
 
-/* Take in what a peer sent; fills what is to be sent in answer. */
+/* Applies a message from a peer and fills in the messages to send. */
 void
 members_receive(members_t *members, const member_message_t *message,
                 int64_t now_ms, member_out_t *out)
@@ -244,25 +254,25 @@
     if (message->count == 0) {
         return;
     }
-    bool anew = take_record(members, &message->records[0], now_ms);
-    hear_sender(members, &message->records[0]);
+    bool is_new = apply_record(members, &message->records[0], now_ms);
+    update_sender(members, &message->records[0]);
     for (size_t i = 1; i < message->count; i++) {
-        (void)take_record(members, &message->records[i], now_ms);
+        (void)apply_record(members, &message->records[i], now_ms);
     }
     switch (message->kind) {
         case MEMBER_PING:
-            answer_ping(members, message, out);
+            handle_ping(members, message, out);
             break;
         case MEMBER_ACK:
-            take_ack(members, message->sequence, out);
+            handle_ack(members, message->sequence, out);
             break;
         case MEMBER_ASK:
-            take_ask(members, message, out);
+            handle_ping_req(members, message, out);
             break;
         case MEMBER_SYNC:
             return;
     }
-    if (wants_all(members, message, anew, now_ms)) {
-        sync_all(members, out, message->records[0].peer);
+    if (needs_full_sync(members, message, is_new, now_ms)) {
+        add_full_sync(members, out, message->records[0].peer);
     }
 }
--- a/kernel/members-round.c
+++ b/kernel/members-round.c
@@ -4,20 +4,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The rounds of membership: whom to ping, whom to suspect, whom to give up. */
+/* Membership rounds: which members to ping, suspect, declare dead and
+ * forget. */
 
-#define HELPERS 3
-#define GREETINGS_A_TICK 3
-#define VERIFY_PINGS 3 /* of one suspect by each daemon */
-#define SUSPECT_ROUNDS 4
-#define HEAL_EVERY 8 /* rounds between greetings of the dead and of seeds */
-#define FORGET_MS 600000
+#define INDIRECT_PINGS 3 /* requested for a member without an ACK */
+#define SEED_PINGS_PER_TICK 3
+#define VERIFY_PINGS_MAX 3 /* to one suspect from each daemon */
+#define SUSPICION_ROUNDS 4
+#define HEAL_INTERVAL_ROUNDS 8 /* between pings to dead members and seeds */
+#define DEAD_RETENTION_MS 600000
 
 static int64_t
-suspect_ms(const members_t *members)
+suspicion_timeout_ms(const members_t *members)
 {
     double scale = log10((double)members->count + 1);
-    return (int64_t)(SUSPECT_ROUNDS * 2 * TICK_MS * (scale < 1 ? 1 : scale));
+    return (int64_t)(SUSPICION_ROUNDS * 2 * TICK_MS * (scale < 1 ? 1 : scale));
 }
 
 static void
@@ -26,40 +27,41 @@
 {
     node->member.health = health;
     node->member.changed_ms = now_ms;
-    node->verified = 0;
-    node->news_left = members_news_times(members);
+    node->verify_count = 0;
+    node->gossip_left = members_gossip_limit(members);
 }
 
-/* A suspect's denial may have passed this daemon by, since news is passed on
- * a bounded number of times; so each asks itself before it gives up, and
- * again, since that ping or its answer may be lost too. */
+/* A refutation may not have reached this daemon, since records are gossiped a
+ * bounded number of times.  So each daemon pings a suspect itself before it
+ * declares it dead, and repeatedly, since a ping or its ACK may be lost. */
 static void
-judge_suspect(members_t *members, member_node_t *node, int64_t now_ms,
+check_suspect(members_t *members, member_node_t *node, int64_t now_ms,
               member_out_t *out)
 {
     int64_t age = now_ms - node->member.changed_ms;
-    int64_t limit = suspect_ms(members);
+    int64_t limit = suspicion_timeout_ms(members);
     if (age > limit) {
         set_health(members, node, MEMBER_DEAD, now_ms);
         return;
     }
-    if (age * (VERIFY_PINGS + 1) > limit * (node->verified + 1)) {
-        node->verified++;
-        members_ping(members, out, node, ++members->sequence);
+    if (age * (VERIFY_PINGS_MAX + 1) > limit * (node->verify_count + 1)) {
+        node->verify_count++;
+        members_add_ping(members, out, node, ++members->last_sequence);
     }
 }
 
 static void
-judge(members_t *members, int64_t now_ms, member_out_t *out)
+check_health(members_t *members, int64_t now_ms, member_out_t *out)
 {
     member_node_t *node;
     member_node_t *next;
     CK_LIST_FOREACH_SAFE (node, &members->list, entry, next) {
         int64_t age = now_ms - node->member.changed_ms;
         if (node->member.health == MEMBER_SUSPECT) {
-            judge_suspect(members, node, now_ms, out);
+            check_suspect(members, node, now_ms, out);
         }
-        else if (node->member.health == MEMBER_DEAD && age > FORGET_MS) {
+        else if (node->member.health == MEMBER_DEAD &&
+                 age > DEAD_RETENTION_MS) {
             CK_LIST_REMOVE(node, entry);
             members->count--;
             free(node);
@@ -67,49 +69,50 @@
     }
 }
 
-/* A turn pings every member once, in an order of its own, so that the time
- * until a stopped one is pinged has a bound. */
+/* A cycle pings every member that is not dead once, in a new random order, so
+ * that the time until a stopped member is pinged is bounded. */
 static member_node_t *
-next_probe(members_t *members)
+next_probe_target(members_t *members)
 {
     member_node_t *best = NULL;
     member_node_t *node;
     for (int again = 0; again < 2 && best == NULL; again++) {
         CK_LIST_FOREACH (node, &members->list, entry) {
             if (node->member.health != MEMBER_DEAD &&
-                node->order > members->turn &&
-                (best == NULL || node->order < best->order)) {
+                node->probe_order > members->last_probe_order &&
+                (best == NULL || node->probe_order < best->probe_order)) {
                 best = node;
             }
         }
         if (best == NULL) {
-            members->turn = 0;
+            members->last_probe_order = 0;
             CK_LIST_FOREACH (node, &members->list, entry) {
-                node->order = 1 + (rng_next(&members->rng) >> 1);
+                node->probe_order = 1 + (rng_next(&members->rng) >> 1);
             }
         }
     }
     if (best != NULL) {
-        members->turn = best->order;
+        members->last_probe_order = best->probe_order;
     }
     return best;
 }
 
 static void
-begin_round(members_t *members, member_out_t *out)
+start_probe(members_t *members, member_out_t *out)
 {
-    member_node_t *node = next_probe(members);
-    members->probed[0] = '\0';
+    member_node_t *node = next_probe_target(members);
+    members->probed_name[0] = '\0';
     if (node == NULL) {
         return;
     }
-    members->probe = ++members->sequence;
-    str_copy(members->probed, sizeof(members->probed), node->member.name);
-    members_ping(members, out, node, members->probe);
+    members->probe_sequence = ++members->last_sequence;
+    str_copy(members->probed_name, sizeof(members->probed_name),
+             node->member.name);
+    members_add_ping(members, out, node, members->probe_sequence);
 }
 
 static member_node_t *
-node_random(members_t *members, member_health_t health)
+random_node(members_t *members, member_health_t health)
 {
     member_node_t *found = NULL;
     uint64_t seen = 0;
@@ -123,75 +126,78 @@
     return found;
 }
 
-/* Half a round without an answer: a few others are asked to try. */
+/* Half a round has passed without an ACK: asks a few others to ping. */
 static void
-ask_helpers(members_t *members, member_out_t *out)
+request_indirect_pings(members_t *members, member_out_t *out)
 {
-    for (int i = 0; i < HELPERS && members->probed[0] != '\0'; i++) {
-        member_node_t *helper = node_random(members, MEMBER_ALIVE);
-        if (helper == NULL ||
-            strcmp(helper->member.name, members->probed) == 0) {
+    for (int i = 0; i < INDIRECT_PINGS && members->probed_name[0] != '\0';
+         i++) {
+        member_node_t *relayer = random_node(members, MEMBER_ALIVE);
+        if (relayer == NULL ||
+            strcmp(relayer->member.name, members->probed_name) == 0) {
             continue;
         }
-        member_message_t *message = members_message_add(
-            members, out, helper->member.peer, MEMBER_ASK, members->probe);
+        member_message_t *message =
+            members_add_message(members, out, relayer->member.peer, MEMBER_ASK,
+                                members->probe_sequence);
         if (message != NULL) {
             str_copy(message->target, sizeof(message->target),
-                     members->probed);
+                     members->probed_name);
         }
     }
 }
 
 static void
-end_round(members_t *members, int64_t now_ms, member_out_t *out)
+finish_probe(members_t *members, int64_t now_ms, member_out_t *out)
 {
-    member_node_t *node = members->probed[0] == '\0'
+    member_node_t *node = members->probed_name[0] == '\0'
                               ? NULL
-                              : members_find(members, members->probed);
+                              : members_find(members, members->probed_name);
     if (node != NULL && node->member.health == MEMBER_ALIVE) {
         set_health(members, node, MEMBER_SUSPECT, now_ms);
-        members_ping(members, out, node, ++members->sequence);
+        members_add_ping(members, out, node, ++members->last_sequence);
     }
 }
 
-/* Greet a random seed. */
 static void
-greet_seed(members_t *members, member_out_t *out)
+ping_random_seed(members_t *members, member_out_t *out)
 {
     uint64_t at = rng_below(&members->rng, members->seed_count);
-    members_ping_addr(members, out, members->seeds[at], NULL,
-                      ++members->sequence);
+    members_add_ping_to(members, out, members->seeds[at], NULL,
+                        ++members->last_sequence);
 }
 
-/* After a loss of all daemons none of them knows another, and by one ping a
- * round news would take a minute to get about: a daemon that knows less than
- * three quarters of its seeds greets a few of them each tick. */
+/* After all daemons have restarted none of them knows another, and with one
+ * ping a round it would take a minute until all do.  So a daemon pings a few
+ * seeds each tick while it knows fewer members than three quarters of its
+ * seeds. */
 static void
-greet_many(members_t *members, member_out_t *out)
+ping_seeds_for_discovery(members_t *members, member_out_t *out)
 {
-    for (int i = 0;
-         i < GREETINGS_A_TICK && members->count < members->seed_count * 3 / 4;
+    for (int i = 0; i < SEED_PINGS_PER_TICK &&
+                    members->count < members->seed_count * 3 / 4;
          i++) {
-        greet_seed(members, out);
+        ping_random_seed(members, out);
     }
 }
 
-/* Greet a seed while few are known, and now and then one of the dead, so
- * that a cut that has healed is noticed from either side. */
+/* Pings a seed while no member is known, and every few rounds a seed and a
+ * dead member, so that either side notices the end of a network partition. */
 static void
-greet(members_t *members, member_out_t *out)
+ping_seeds_and_dead(members_t *members, member_out_t *out)
 {
-    bool heal = members->ticks / 2 % HEAL_EVERY == 0;
-    member_node_t *dead = heal ? node_random(members, MEMBER_DEAD) : NULL;
+    bool is_heal_round = members->ticks / 2 % HEAL_INTERVAL_ROUNDS == 0;
+    member_node_t *dead =
+        is_heal_round ? random_node(members, MEMBER_DEAD) : NULL;
     if (dead != NULL) {
-        members_ping(members, out, dead, ++members->sequence);
+        members_add_ping(members, out, dead, ++members->last_sequence);
     }
-    if (members->seed_count > 0 && (heal || members->count == 0)) {
-        greet_seed(members, out);
+    if (members->seed_count > 0 && (is_heal_round || members->count == 0)) {
+        ping_random_seed(members, out);
     }
 }
 
-/* One tick of time; fills what is to be sent. */
+/* Runs one tick and fills in the messages to send. */
 void
 members_tick(members_t *members, int64_t now_ms, int64_t generation,
              member_intent_t intent, member_out_t *out)
@@ -204,13 +210,13 @@
     }
     members->self.generation = generation;
     members->ticks++;
-    judge(members, now_ms, out);
-    greet_many(members, out);
+    check_health(members, now_ms, out);
+    ping_seeds_for_discovery(members, out);
     if (members->ticks % 2 == 0) {
-        ask_helpers(members, out);
+        request_indirect_pings(members, out);
         return;
     }
-    end_round(members, now_ms, out);
-    greet(members, out);
-    begin_round(members, out);
+    finish_probe(members, now_ms, out);
+    ping_seeds_and_dead(members, out);
+    start_probe(members, out);
 }
--- a/kernel/members.c
+++ b/kernel/members.c
@@ -4,13 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Membership in the manner of SWIM (Das, Gupta, Motivala): each round a
- * daemon pings one other; without an answer it asks a few more to ping it;
- * without theirs the member is suspected, and taken for dead unless it denies
- * that in time.  News rides on the pings, each piece a bounded number of
- * times, so what a daemon sends does not grow with the fleet. */
-
-/* A table that knows only its own daemon. */
+/* Membership by the SWIM protocol (Das, Gupta, Motivala).  Each round a daemon
+ * pings one other member.  Without an ACK it requests indirect pings from a
+ * few others; without an ACK to these either, the member becomes a suspect,
+ * and dead unless it refutes the suspicion within the timeout.  Records are
+ * gossiped on the pings, each a bounded number of times, so the traffic of a
+ * daemon does not grow with the fleet. */
+
+/* Creates a table that holds only this daemon. */
 members_t *
 members_new(const member_t *self, uint64_t seed)
 {
@@ -18,7 +19,7 @@
     (void)pthread_mutex_init(&members->lock, NULL);
     members->self = *self;
     members->self.version = 1;
-    members->self_news_left = NEWS_FACTOR;
+    members->self_gossip_left = GOSSIP_FACTOR;
     members->rng.state = seed;
     return members;
 }
@@ -35,7 +36,7 @@
     free(members);
 }
 
-/* An address to greet until its daemon is known. */
+/* Adds an address to ping for discovery. */
 void
 members_seed(members_t *members, const char *peer)
 {
@@ -64,14 +65,14 @@
     return NULL;
 }
 
-/* Rounds of news grow with the logarithm of the fleet. */
+/* How often a record is gossiped: grows with the logarithm of the fleet. */
 unsigned
-members_news_times(const members_t *members)
+members_gossip_limit(const members_t *members)
 {
-    return (unsigned)(NEWS_FACTOR * ceil(log2((double)members->count + 2)));
+    return (unsigned)(GOSSIP_FACTOR * ceil(log2((double)members->count + 2)));
 }
 
-/* All members, this daemon first. */
+/* Lists at most max members, this daemon first. */
 size_t
 members_list(members_t *members, member_t *out, size_t max)
 {
@@ -87,16 +88,17 @@
     return count;
 }
 
-/* A suspect keeps its duties until it is taken for dead: most suspicions are
- * denied, and moving a duty costs more than a moment without it. */
+/* A suspect keeps its duties until it is declared dead: most suspicions are
+ * refuted, and moving a duty costs more than a short time without it. */
 static bool
-takes_duties(const member_t *member)
+can_hold_duties(const member_t *member)
 {
     return member->health != MEMBER_DEAD && member->intent == MEMBER_LIVE;
 }
 
-/* Whether a duty falls to this daemon by rendezvous over the live ones.  Two
- * daemons may think so at once; duties are an optimisation only. */
+/* Whether this daemon owns a duty, by rendezvous hashing over the live
+ * members.  Two daemons may own it at once while their tables differ; duties
+ * are an optimisation only. */
 bool
 members_duty(members_t *members, const char *duty)
 {
@@ -108,7 +110,7 @@
         return false;
     }
     CK_LIST_FOREACH (node, &members->list, entry) {
-        if (takes_duties(&node->member) &&
+        if (can_hold_duties(&node->member) &&
             place_weight(key, node->member.name) > mine) {
             return false;
         }
@@ -116,8 +118,8 @@
     return true;
 }
 
-/* How many other live daemons come before this one for a duty.  Counted over
- * all members, so that daemons that know the same ones agree. */
+/* How many other live daemons rank before this one for a duty.  Counted over
+ * all members, so that daemons with equal tables agree. */
 size_t
 members_duty_rank(members_t *members, const char *duty)
 {
@@ -127,16 +129,17 @@
     size_t before = 0;
     const member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
-        before += takes_duties(&node->member) &&
+        before += can_hold_duties(&node->member) &&
                   place_weight(key, node->member.name) > mine;
     }
     return before;
 }
 
-/* Put a member where its weight belongs among the heaviest. */
+/* Inserts a member into a list ordered by weight, highest first, that keeps
+ * at most max members; returns the new count. */
 static size_t
-owner_put(const member_t *member, uint64_t key, member_t *out, size_t count,
-          size_t max)
+insert_owner(const member_t *member, uint64_t key, member_t *out, size_t count,
+             size_t max)
 {
     uint64_t weight = place_weight(key, member->name);
     size_t at = count;
@@ -152,9 +155,9 @@
     return last + 1;
 }
 
-/* The daemons that share a duty, at most max, by rendezvous over the live
- * ones, this one included.  Like members_duty, they may be seen differently
- * elsewhere for a while. */
+/* Lists the daemons that share a duty, at most max, by rendezvous hashing over
+ * the live members and this one.  Other daemons may get another list while
+ * their tables differ. */
 size_t
 members_duty_owners(members_t *members, const char *duty, member_t *out,
                     size_t max)
@@ -164,17 +167,17 @@
     member_node_t *node;
     size_t count = 0;
     if (members->self.intent == MEMBER_LIVE) {
-        count = owner_put(&members->self, key, out, count, max);
+        count = insert_owner(&members->self, key, out, count, max);
     }
     CK_LIST_FOREACH (node, &members->list, entry) {
-        if (takes_duties(&node->member)) {
-            count = owner_put(&node->member, key, out, count, max);
+        if (can_hold_duties(&node->member)) {
+            count = insert_owner(&node->member, key, out, count, max);
         }
     }
     return count;
 }
 
-/* How many daemons serve, this one included. */
+/* Counts the members that are neither dead nor leaving, and this daemon. */
 size_t
 members_live(members_t *members)
 {
@@ -182,13 +185,13 @@
     size_t live = 1;
     member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
-        live += takes_duties(&node->member);
+        live += can_hold_duties(&node->member);
     }
     return live;
 }
 
-/* The highest configuration generation among live peers, and who has it; -1
- * where there is none. */
+/* The highest configuration generation among live peers and the address of a
+ * peer that has it; -1 if there is no live peer. */
 int64_t
 members_generation(members_t *members, char peer[CS_ADDR_MAX])
 {
