--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -10,7 +10,7 @@
 #define USAGE_FIELDS 3
 #define MEMBERS_FIELDS 5
 #define FACTS_FIELDS 2
-#define QUOTAS_FIELDS 4
+#define USAGES_FIELDS 4
 #define SERVER_LOAD_FIELDS 5
 #define LOADS_FIELDS 2
 
@@ -87,9 +87,9 @@
 }
 
 static void
-pack_quotas(msgpack_packer *packer, const peer_datagram_t *datagram)
+pack_usages(msgpack_packer *packer, const peer_datagram_t *datagram)
 {
-    (void)msgpack_pack_array(packer, QUOTAS_FIELDS);
+    (void)msgpack_pack_array(packer, USAGES_FIELDS);
     (void)msgpack_pack_int(packer, PEER_USAGES);
     (void)msgpack_pack_array(packer, datagram->usage_count);
     for (size_t i = 0; i < datagram->usage_count; i++) {
@@ -120,7 +120,7 @@
     }
 }
 
-/* Encode a datagram; its length, or 0 where it would not fit. */
+/* Encodes a datagram; returns its length, or 0 if it does not fit. */
 size_t
 peer_encode(const peer_datagram_t *datagram, const unsigned char *secret,
             unsigned char out[PEER_DATAGRAM_MAX])
@@ -137,7 +137,7 @@
             pack_facts(&packer, datagram);
             break;
         case PEER_USAGES:
-            pack_quotas(&packer, datagram);
+            pack_usages(&packer, datagram);
             break;
         case PEER_LOADS:
             pack_loads(&packer, datagram);
@@ -155,7 +155,7 @@
 }
 
 static bool
-take_text(const msgpack_object *object, char *out, size_t size)
+parse_text(const msgpack_object *object, char *out, size_t size)
 {
     if (object->type != MSGPACK_OBJECT_STR || object->via.str.size >= size) {
         return false;
@@ -166,14 +166,14 @@
 }
 
 static bool
-take_unsigned(const msgpack_object *object, uint64_t *out)
+parse_unsigned(const msgpack_object *object, uint64_t *out)
 {
     *out = object->via.u64;
     return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER;
 }
 
 static bool
-take_int(const msgpack_object *object, int *out)
+parse_int(const msgpack_object *object, int *out)
 {
     *out = (int)object->via.i64;
     return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER ||
@@ -181,7 +181,7 @@
 }
 
 static bool
-take_member(const msgpack_object *object, member_t *member)
+parse_member(const msgpack_object *object, member_t *member)
 {
     const msgpack_object *at = object->via.array.ptr;
     int intent;
@@ -190,14 +190,14 @@
     memset(member, 0, sizeof(*member));
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         object->via.array.size != MEMBER_FIELDS ||
-        !take_text(&at[0], member->name, sizeof(member->name)) ||
-        !take_text(&at[1], member->dc, sizeof(member->dc)) ||
-        !take_text(&at[2], member->peer, sizeof(member->peer)) ||
-        !take_text(&at[3], member->http, sizeof(member->http)) ||
-        !take_unsigned(&at[4], &member->incarnation) ||
-        !take_unsigned(&at[5], &member->version) ||
-        !take_int(&at[6], &intent) || !take_unsigned(&at[7], &generation) ||
-        !take_int(&at[8], &health) || health < MEMBER_ALIVE ||
+        !parse_text(&at[0], member->name, sizeof(member->name)) ||
+        !parse_text(&at[1], member->dc, sizeof(member->dc)) ||
+        !parse_text(&at[2], member->peer, sizeof(member->peer)) ||
+        !parse_text(&at[3], member->http, sizeof(member->http)) ||
+        !parse_unsigned(&at[4], &member->incarnation) ||
+        !parse_unsigned(&at[5], &member->version) ||
+        !parse_int(&at[6], &intent) || !parse_unsigned(&at[7], &generation) ||
+        !parse_int(&at[8], &health) || health < MEMBER_ALIVE ||
         health > MEMBER_DEAD) {
         return false;
     }
@@ -208,14 +208,14 @@
 }
 
 static bool
-take_fact(const msgpack_object *object, peer_fact_t *fact)
+parse_fact(const msgpack_object *object, peer_fact_t *fact)
 {
     const msgpack_object *at = object->via.array.ptr;
     memset(fact, 0, sizeof(*fact));
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         (object->via.array.size != LOAD_FIELDS &&
          object->via.array.size != CACHE_FIELDS) ||
-        !take_text(&at[0], fact->backend, sizeof(fact->backend))) {
+        !parse_text(&at[0], fact->backend, sizeof(fact->backend))) {
         return false;
     }
     fact->is_load = object->via.array.size == LOAD_FIELDS;
@@ -223,9 +223,9 @@
         uint64_t tokens;
         uint64_t part;
         int held;
-        bool good = take_unsigned(&at[1], &fact->key) &&
-                    take_unsigned(&at[2], &tokens) &&
-                    take_unsigned(&at[3], &part) && take_int(&at[4], &held);
+        bool good = parse_unsigned(&at[1], &fact->key) &&
+                    parse_unsigned(&at[2], &tokens) &&
+                    parse_unsigned(&at[3], &part) && parse_int(&at[4], &held);
         fact->prefix_tokens = good ? (uint32_t)tokens : 0;
         fact->part_tokens = good ? (uint32_t)part : 0;
         fact->held = good && held != 0;
@@ -233,82 +233,83 @@
     }
     load_report_t *load = &fact->load;
     uint64_t filled;
-    if (!take_unsigned(&at[8], &filled)) {
+    if (!parse_unsigned(&at[8], &filled)) {
         return false;
     }
     load->filled = (uint32_t)filled;
-    return take_text(&at[1], load->incarnation, sizeof(load->incarnation)) &&
-           take_text(&at[2], load->version, sizeof(load->version)) &&
-           take_text(&at[3], load->loading, sizeof(load->loading)) &&
-           take_int(&at[4], &load->running) &&
-           take_int(&at[5], &load->slots) &&
-           take_int(&at[6], &load->waiting_tokens) &&
-           take_int(&at[7], &load->prefill_rate) &&
-           take_int(&at[9], &load->at_server);
+    return parse_text(&at[1], load->incarnation, sizeof(load->incarnation)) &&
+           parse_text(&at[2], load->version, sizeof(load->version)) &&
+           parse_text(&at[3], load->loading, sizeof(load->loading)) &&
+           parse_int(&at[4], &load->running) &&
+           parse_int(&at[5], &load->slots) &&
+           parse_int(&at[6], &load->waiting_tokens) &&
+           parse_int(&at[7], &load->prefill_rate) &&
+           parse_int(&at[9], &load->at_server);
 }
 
 static bool
-take_count(const msgpack_object *object, uint32_t *out)
+parse_count(const msgpack_object *object, uint32_t *out)
 {
     uint64_t value;
-    bool good = take_unsigned(object, &value) && value <= UINT32_MAX;
+    bool good = parse_unsigned(object, &value) && value <= UINT32_MAX;
     *out = good ? (uint32_t)value : 0;
     return good;
 }
 
 static bool
-take_usage(const msgpack_object *object, peer_usage_t *usage)
+parse_usage(const msgpack_object *object, peer_usage_t *usage)
 {
     const msgpack_object *at = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == USAGE_FIELDS &&
-           take_unsigned(&at[0], &usage->workspace_hash) &&
-           take_count(&at[1], &usage->total_spent) &&
-           take_count(&at[2], &usage->recent_spent);
+           parse_unsigned(&at[0], &usage->workspace_hash) &&
+           parse_count(&at[1], &usage->total_spent) &&
+           parse_count(&at[2], &usage->recent_spent);
 }
 
 static bool
-take_server_load(const msgpack_object *object, peer_load_t *load)
+parse_server_load(const msgpack_object *object, peer_load_t *load)
 {
     const msgpack_object *at = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == SERVER_LOAD_FIELDS &&
-           take_count(&at[0], &load->server_hash) &&
-           take_count(&at[1], &load->prefill_tokens) &&
-           take_count(&at[2], &load->running) &&
-           take_count(&at[3], &load->unshared_tokens) &&
-           take_count(&at[4], &load->sent_tokens);
+           parse_count(&at[0], &load->server_hash) &&
+           parse_count(&at[1], &load->prefill_tokens) &&
+           parse_count(&at[2], &load->running) &&
+           parse_count(&at[3], &load->unshared_tokens) &&
+           parse_count(&at[4], &load->sent_tokens);
 }
 
-/* Decode one entry of a datagram's list. */
+/* Decodes one entry of a datagram's list. */
 static bool
-take_entry(peer_datagram_t *datagram, const msgpack_object *at, size_t i)
+parse_entry(peer_datagram_t *datagram, const msgpack_object *at, size_t i)
 {
     switch (datagram->kind) {
         case PEER_MEMBERS:
             datagram->members.count = i + 1;
             return i < MEMBER_RECORDS_MAX &&
-                   take_member(at, &datagram->members.records[i]);
+                   parse_member(at, &datagram->members.records[i]);
         case PEER_FACTS:
             datagram->fact_count = i + 1;
-            return i < PEER_FACTS_MAX && take_fact(at, &datagram->facts[i]);
+            return i < PEER_FACTS_MAX && parse_fact(at, &datagram->facts[i]);
         case PEER_USAGES:
             datagram->usage_count = i + 1;
-            return i < PEER_USAGES_MAX && take_usage(at, &datagram->usages[i]);
+            return i < PEER_USAGES_MAX &&
+                   parse_usage(at, &datagram->usages[i]);
         case PEER_LOADS:
             datagram->load_count = i + 1;
             return i < PEER_LOADS_MAX &&
-                   take_server_load(at, &datagram->loads[i]);
+                   parse_server_load(at, &datagram->loads[i]);
     }
     return false;
 }
 
 static int
-take_list(peer_datagram_t *datagram, const msgpack_object *list)
+parse_list(peer_datagram_t *datagram, const msgpack_object *list)
 {
     size_t count = list->via.array.size;
     for (size_t i = 0; i < count; i++) {
-        if (!take_entry(datagram, &list->via.array.ptr[i], i)) {
+        if (!parse_entry(datagram, &list->via.array.ptr[i], i)) {
             return -1;
         }
     }
@@ -336,43 +337,43 @@
 }
 
 static bool
-take_member_head(peer_datagram_t *datagram, const msgpack_object *at)
+parse_member_head(peer_datagram_t *datagram, const msgpack_object *at)
 {
     int kind;
     member_message_t *message = &datagram->members;
-    bool good = take_int(&at[2], &kind) && kind >= MEMBER_PING &&
+    bool good = parse_int(&at[2], &kind) && kind >= MEMBER_PING &&
                 kind <= MEMBER_SYNC &&
-                take_unsigned(&at[3], &message->sequence) &&
-                take_text(&at[4], message->target, sizeof(message->target));
+                parse_unsigned(&at[3], &message->sequence) &&
+                parse_text(&at[4], message->target, sizeof(message->target));
     message->kind = good ? (member_message_kind_t)kind : MEMBER_SYNC;
     return good;
 }
 
 static int
-take_root(peer_datagram_t *datagram, const msgpack_object *root)
+parse_datagram(peer_datagram_t *datagram, const msgpack_object *root)
 {
     int kind;
     const msgpack_object *at = root->via.array.ptr;
     if (root->type != MSGPACK_OBJECT_ARRAY || root->via.array.size < 2 ||
-        !take_int(&at[0], &kind) || at[1].type != MSGPACK_OBJECT_ARRAY) {
+        !parse_int(&at[0], &kind) || at[1].type != MSGPACK_OBJECT_ARRAY) {
         return -1;
     }
     datagram->kind = (peer_kind_t)kind;
     clear_list(datagram);
     uint32_t size = root->via.array.size;
     bool members = kind == PEER_MEMBERS && size == MEMBERS_FIELDS &&
-                   take_member_head(datagram, at);
+                   parse_member_head(datagram, at);
     bool facts = kind == PEER_FACTS && size == FACTS_FIELDS;
-    bool quotas = kind == PEER_USAGES && size == QUOTAS_FIELDS &&
-                  take_unsigned(&at[2], &datagram->incarnation) &&
-                  take_unsigned(&at[3], &datagram->sequence);
+    bool usages = kind == PEER_USAGES && size == USAGES_FIELDS &&
+                  parse_unsigned(&at[2], &datagram->incarnation) &&
+                  parse_unsigned(&at[3], &datagram->sequence);
     bool loads = kind == PEER_LOADS && size == LOADS_FIELDS;
-    return members || facts || quotas || loads ? take_list(datagram, &at[1])
+    return members || facts || usages || loads ? parse_list(datagram, &at[1])
                                                : -1;
 }
 
-/* Decode a datagram; -1 for one that another key made or that is malformed,
- * of which nothing is used. */
+/* Decodes a datagram; -1 if its authentication code is wrong or it is
+ * malformed, in which case the caller uses nothing of it. */
 int
 peer_decode(peer_datagram_t *datagram, const unsigned char *secret,
             const unsigned char *data, size_t len)
@@ -392,7 +393,7 @@
     if (msgpack_unpack_next(&result, (const char *)data + PEER_MAC_BYTES,
                             len - PEER_MAC_BYTES,
                             NULL) == MSGPACK_UNPACK_SUCCESS) {
-        status = take_root(datagram, &result.data);
+        status = parse_datagram(datagram, &result.data);
     }
     msgpack_unpacked_destroy(&result);
     return status;
--- a/kernel/peer-codec.h
+++ b/kernel/peer-codec.h
@@ -1,7 +1,8 @@
 #ifndef CELERYSPOOL_PEER_CODEC_H
 #define CELERYSPOOL_PEER_CODEC_H
 
-/* The datagrams between daemons, in msgpack, each behind a keyed checksum. */
+/* The datagrams between daemons: msgpack behind a message authentication code
+ * keyed with the shared secret. */
 
 #include "tables.h"
 
@@ -9,10 +10,10 @@
 #define PEER_FACTS_MAX 64
 #define PEER_MAC_BYTES 16
 
-/* Workspaces of one announcement at most. */
+/* Workspaces in one datagram of usages. */
 #define PEER_USAGES_MAX 256
 
-/* Servers of one datagram of loads at most. */
+/* Servers in one datagram of loads. */
 #define PEER_LOADS_MAX 256
 
 typedef enum {
@@ -22,35 +23,36 @@
     PEER_LOADS = 4
 } peer_kind_t;
 
-/* A load report or a change of a cache entry, by the server's name. */
+/* A load report or a change of a cache entry of a backend server. */
 typedef struct {
     bool is_load;
     char backend[CS_NAME_MAX];
     load_report_t load;
     uint64_t key;
-    uint32_t prefix_tokens; /* of the prompt up to the end of the part */
-    uint32_t part_tokens;   /* of the part alone, 0 where it is not known */
-    bool held;
+    uint32_t prefix_tokens; /* of the prompt up to the end of this part */
+    uint32_t part_tokens;   /* of this part alone, 0 if unknown */
+    bool held;              /* false: evicted */
 } peer_fact_t;
 
-/* What the sender has spent of a workspace's limit. */
+/* Units of a workspace's limit that the sender has spent. */
 typedef struct {
-    uint64_t workspace_hash; /* hash of its name */
-    uint32_t total_spent;    /* of the sender's lifetime, wraps */
-    uint32_t recent_spent;   /* since its last announcement, wraps below 0 */
+    uint64_t workspace_hash; /* of its name */
+    uint32_t total_spent;    /* since the sender started, wraps */
+    uint32_t
+        recent_spent; /* since the last announcement; negative values wrap */
 } peer_usage_t;
 
-/* What the sender has at a server. */
+/* The load that the sender puts on a server. */
 typedef struct {
-    uint32_t server_hash;    /* hash of its id */
-    uint32_t prefill_tokens; /* prompt tokens */
+    uint32_t server_hash;    /* of its id */
+    uint32_t prefill_tokens; /* of its requests, not prefilled yet */
     uint32_t running;
-    uint32_t unshared_tokens; /* tokens brought into its cache, of all time,
-                                 wraps */
-    uint32_t sent_tokens; /* tokens given to it to read, of all time, wraps */
+    uint32_t unshared_tokens; /* of prompt parts that are not shared, as put
+                                 into its cache; cumulative, wraps */
+    uint32_t sent_tokens;     /* to prefill; cumulative, wraps */
 } peer_load_t;
 
-/* Only the content of its kind is there. */
+/* Only the union member of its kind is valid. */
 typedef struct {
     peer_kind_t kind;
     union {
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -9,9 +9,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Talk between daemons: datagrams for heartbeats and facts, and a framed
- * question and answer over TCP for what is larger.  A frame is four bytes of
- * length, most significant first, and a msgpack array [kind, text]. */
+/* Communication between daemons: UDP datagrams for membership and facts, and
+ * framed requests and replies over TCP for larger documents.  A frame is four
+ * bytes of length, most significant first, and a msgpack array [kind, text].
+ */
 
 #define FRAME_MAX (4 << 20)
 #define IO_TIMEOUT_MS 1000
@@ -19,14 +20,14 @@
 
 struct peer {
     celeryspoold_t *daemon;
-    int udp;
-    int tcp;
+    int udp_fd;
+    int tcp_fd;
     bool stop;
-    pthread_t receiver;
-    pthread_t listener;
-    pthread_mutex_t lock; /* over the pending facts; a leaf */
-    peer_datagram_t pending;
-    int64_t next_beat_ms;
+    pthread_t receive_thread;
+    pthread_t accept_thread;
+    pthread_mutex_t lock; /* over pending_facts; a leaf lock */
+    peer_datagram_t pending_facts;
+    int64_t next_tick_ms;
     uint64_t bytes_sent;
     uint64_t bytes_received;
 };
@@ -63,8 +64,8 @@
     if (fd < 0) {
         return -1;
     }
-    /* For TCP this is for restarts; for UDP it would let two daemons share an
-     * address unnoticed. */
+    /* Lets a restarted daemon listen again at once.  Not for UDP, where two
+     * daemons could then bind the same address unnoticed. */
     if (type == SOCK_STREAM) {
         (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     }
@@ -82,16 +83,16 @@
 {
     struct sockaddr_in at;
     if (parse_addr(addr, &at) == 0) {
-        (void)sendto(peer->udp, data, len, 0, (struct sockaddr *)&at,
+        (void)sendto(peer->udp_fd, data, len, 0, (struct sockaddr *)&at,
                      sizeof(at));
         (void)__atomic_add_fetch(&peer->bytes_sent, len, __ATOMIC_RELAXED);
     }
 }
 
-/* ---- datagrams in ---- */
+/* ---- received datagrams ---- */
 
 static void
-take_fact(celeryspoold_t *daemon, const peer_fact_t *fact)
+apply_fact(celeryspoold_t *daemon, const peer_fact_t *fact)
 {
     uint16_t id = view_id(daemon->view, fact->backend);
     if (fact->is_load) {
@@ -124,7 +125,8 @@
 }
 
 static void
-take_datagram(peer_t *peer, const peer_datagram_t *datagram, member_out_t *out)
+handle_datagram(peer_t *peer, const peer_datagram_t *datagram,
+                member_out_t *out)
 {
     celeryspoold_t *daemon = peer->daemon;
     switch (datagram->kind) {
@@ -135,7 +137,7 @@
             return;
         case PEER_FACTS:
             for (size_t i = 0; i < datagram->fact_count; i++) {
-                take_fact(daemon, &datagram->facts[i]);
+                apply_fact(daemon, &datagram->facts[i]);
             }
             dispatch_run(daemon);
             return;
@@ -146,14 +148,14 @@
 }
 
 static void *
-receive_run(void *arg)
+receive_datagrams(void *arg)
 {
     peer_t *peer = arg;
     unsigned char data[PEER_DATAGRAM_MAX];
     peer_datagram_t *datagram = mem_zalloc(sizeof(*datagram));
     member_out_t *out = mem_zalloc(sizeof(*out));
     while (!__atomic_load_n(&peer->stop, __ATOMIC_ACQUIRE)) {
-        ssize_t len = recv(peer->udp, data, sizeof(data), 0);
+        ssize_t len = recv(peer->udp_fd, data, sizeof(data), 0);
         if (len <= 0) {
             continue;
         }
@@ -161,7 +163,7 @@
                                  __ATOMIC_RELAXED);
         if (peer_decode(datagram, peer->daemon->settings.secret, data,
                         (size_t)len) == 0) {
-            take_datagram(peer, datagram, out);
+            handle_datagram(peer, datagram, out);
         }
     }
     free(out);
@@ -169,7 +171,7 @@
     return NULL;
 }
 
-/* ---- questions over TCP ---- */
+/* ---- requests over TCP ---- */
 
 static int
 read_all(int fd, void *out, size_t len)
@@ -223,8 +225,8 @@
 }
 
 static int
-take_frame(const char *data, size_t len, char *kind, size_t kind_size,
-           buf_t *text)
+parse_frame(const char *data, size_t len, char *kind, size_t kind_size,
+            buf_t *text)
 {
     msgpack_unpacked result;
     int status = -1;
@@ -262,17 +264,17 @@
     if (read_all(fd, data, len) != 0) {
         return -1;
     }
-    return take_frame(data, len, kind, kind_size, text);
+    return parse_frame(data, len, kind, kind_size, text);
 }
 
-/* A question that is being answered by a worker of the pool. */
+/* A request of a peer, served by a worker of the pool. */
 typedef struct {
     celeryspoold_t *daemon;
     int fd;
-} question_t;
+} peer_request_t;
 
 static json_t *
-answer_of(celeryspoold_t *daemon, const char *kind)
+make_reply(celeryspoold_t *daemon, const char *kind)
 {
     if (strcmp(kind, "snapshot") == 0) {
         return snapshot_make(daemon, SNAPSHOT_PEER_FACTS_MAX);
@@ -290,39 +292,40 @@
 }
 
 static void
-answer(void *arg)
+serve_request(void *arg)
 {
-    question_t *question = arg;
+    peer_request_t *request = arg;
     char kind[32];
     CLEAN_BUF buf_t text = {0};
-    if (receive_frame(question->fd, kind, sizeof(kind), &text) == 0) {
-        CLEAN_JSON json_t *reply = answer_of(question->daemon, kind);
+    if (receive_frame(request->fd, kind, sizeof(kind), &text) == 0) {
+        CLEAN_JSON json_t *reply = make_reply(request->daemon, kind);
         CLEAN_TEXT char *out = json_dumps(reply, JSON_COMPACT);
-        (void)send_frame(question->fd, "answer", out == NULL ? "{}" : out);
+        (void)send_frame(request->fd, "answer", out == NULL ? "{}" : out);
     }
-    (void)close(question->fd);
-    free(question);
+    (void)close(request->fd);
+    free(request);
 }
 
 static void *
-listen_run(void *arg)
+accept_requests(void *arg)
 {
     peer_t *peer = arg;
     while (!__atomic_load_n(&peer->stop, __ATOMIC_ACQUIRE)) {
-        int fd = accept4(peer->tcp, NULL, NULL, SOCK_CLOEXEC);
+        int fd = accept4(peer->tcp_fd, NULL, NULL, SOCK_CLOEXEC);
         if (fd < 0) {
             continue;
         }
         set_timeouts(fd, IO_TIMEOUT_MS);
-        question_t *question = mem_zalloc(sizeof(*question));
-        question->daemon = peer->daemon;
-        question->fd = fd;
-        pool_submit(peer->daemon->pool, answer, question);
+        peer_request_t *request = mem_zalloc(sizeof(*request));
+        request->daemon = peer->daemon;
+        request->fd = fd;
+        pool_submit(peer->daemon->pool, serve_request, request);
     }
     return NULL;
 }
 
-/* Ask a peer: "config", "snapshot" or "requests"; NULL with an error. */
+/* Requests a document from a peer: "config", "snapshot" or "requests".
+ * Returns NULL, with an error if the peer cannot be reached. */
 json_t *
 peer_ask(const char *addr, const char *what, int timeout_ms, err_t *err)
 {
@@ -331,7 +334,7 @@
     CLEAN_BUF buf_t text = {0};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (fd < 0 || parse_addr(addr, &at) != 0) {
-        (void)err_set(err, ERR_PEER, 0, "no socket for %s", addr);
+        (void)err_set(err, ERR_PEER, 0, "cannot open a socket for %s", addr);
         return NULL;
     }
     set_timeouts(fd, timeout_ms);
@@ -346,7 +349,7 @@
     return json_loadb(buf_text(&text), text.len, 0, NULL);
 }
 
-/* ---- datagrams out ---- */
+/* ---- sent datagrams ---- */
 
 static void
 flush_facts(peer_t *peer)
@@ -354,11 +357,11 @@
     static __thread unsigned char data[PEER_DATAGRAM_MAX];
     member_t list[DIRECT_PEERS_MAX + 1];
     (void)pthread_mutex_lock(&peer->lock);
-    size_t len =
-        peer->pending.fact_count == 0
-            ? 0
-            : peer_encode(&peer->pending, peer->daemon->settings.secret, data);
-    peer->pending.fact_count = 0;
+    size_t len = peer->pending_facts.fact_count == 0
+                     ? 0
+                     : peer_encode(&peer->pending_facts,
+                                   peer->daemon->settings.secret, data);
+    peer->pending_facts.fact_count = 0;
     (void)pthread_mutex_unlock(&peer->lock);
     if (len == 0) {
         return;
@@ -379,18 +382,18 @@
         return;
     }
     (void)pthread_mutex_lock(&peer->lock);
-    bool full = peer->pending.fact_count == PEER_FACTS_MAX;
+    bool full = peer->pending_facts.fact_count == PEER_FACTS_MAX;
     if (!full) {
-        peer->pending.kind = PEER_FACTS;
-        peer->pending.facts[peer->pending.fact_count++] = *fact;
+        peer->pending_facts.kind = PEER_FACTS;
+        peer->pending_facts.facts[peer->pending_facts.fact_count++] = *fact;
     }
     (void)pthread_mutex_unlock(&peer->lock);
     if (full) {
-        flush_facts(peer); /* this fact is lost, as datagrams may be */
+        flush_facts(peer); /* the fact is dropped; datagrams may be lost too */
     }
 }
 
-/* Pass a load report on with the next datagram. */
+/* Queues a load report for the next datagram to the peers. */
 void
 peer_tell_load(peer_t *peer, const char *backend, const load_report_t *report)
 {
@@ -399,7 +402,7 @@
     add_fact(peer, &fact);
 }
 
-/* Pass on that a server holds a level, or no longer does. */
+/* Queues that a server holds a level in its cache, or no longer does. */
 void
 peer_tell_cached(peer_t *peer, const char *backend, uint64_t key,
                  uint32_t tokens, bool held)
@@ -410,7 +413,7 @@
 }
 
 static void
-beat(peer_t *peer)
+membership_tick(peer_t *peer)
 {
     celeryspoold_t *daemon = peer->daemon;
     member_out_t *out = mem_zalloc(sizeof(*out));
@@ -424,39 +427,41 @@
     free(out);
 }
 
-/* Send what waits; called every few milliseconds by the ticker. */
+/* Sends the queued facts and, when due, runs a membership tick; called every
+ * few milliseconds. */
 void
 peer_tick(peer_t *peer)
 {
     int64_t now = time_mono_ms();
     flush_facts(peer);
-    if (now >= peer->next_beat_ms) {
-        peer->next_beat_ms = now + members_interval_ms();
-        beat(peer);
+    if (now >= peer->next_tick_ms) {
+        peer->next_tick_ms = now + members_interval_ms();
+        membership_tick(peer);
     }
 }
 
-/* Open both sockets and start their threads. */
+/* Opens both sockets and starts their threads. */
 peer_t *
 peer_start(celeryspoold_t *daemon, err_t *err)
 {
     peer_t *peer = mem_zalloc(sizeof(*peer));
     peer->daemon = daemon;
     (void)pthread_mutex_init(&peer->lock, NULL);
-    peer->udp = open_socket(daemon->settings.peer, SOCK_DGRAM);
-    peer->tcp = open_socket(daemon->settings.peer, SOCK_STREAM);
-    if (peer->udp < 0 || peer->tcp < 0 || listen(peer->tcp, 64) != 0) {
+    peer->udp_fd = open_socket(daemon->settings.peer, SOCK_DGRAM);
+    peer->tcp_fd = open_socket(daemon->settings.peer, SOCK_STREAM);
+    if (peer->udp_fd < 0 || peer->tcp_fd < 0 ||
+        listen(peer->tcp_fd, 64) != 0) {
         (void)err_set(err, ERR_PEER, 0, "cannot listen on %s",
                       daemon->settings.peer);
         free(peer);
         return NULL;
     }
-    (void)pthread_create(&peer->receiver, NULL, receive_run, peer);
-    (void)pthread_create(&peer->listener, NULL, listen_run, peer);
+    (void)pthread_create(&peer->receive_thread, NULL, receive_datagrams, peer);
+    (void)pthread_create(&peer->accept_thread, NULL, accept_requests, peer);
     return peer;
 }
 
-/* Bytes of datagrams so far. */
+/* Bytes of datagrams sent and received since the start. */
 void
 peer_bytes(const peer_t *peer, uint64_t *sent, uint64_t *received)
 {
@@ -464,15 +469,15 @@
     *received = __atomic_load_n(&peer->bytes_received, __ATOMIC_RELAXED);
 }
 
-/* Stop the threads and close the sockets. */
+/* Stops the threads and closes the sockets. */
 void
 peer_stop(peer_t *peer)
 {
     __atomic_store_n(&peer->stop, true, __ATOMIC_RELEASE);
-    (void)pthread_join(peer->receiver, NULL);
-    (void)pthread_join(peer->listener, NULL);
-    (void)close(peer->udp);
-    (void)close(peer->tcp);
+    (void)pthread_join(peer->receive_thread, NULL);
+    (void)pthread_join(peer->accept_thread, NULL);
+    (void)close(peer->udp_fd);
+    (void)close(peer->tcp_fd);
     (void)pthread_mutex_destroy(&peer->lock);
     free(peer);
 }
