--- a/kernel/claim-op.c
+++ b/kernel/claim-op.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Operations on the claim log, and what its entries add up to. */
+/* Operations on the claim log, and the state that its entries result in. */
 
-/* A new operation; its owner sets deadline, done and arg. */
+/* Creates an operation; its owner sets deadline_ms, on_done and arg. */
 claim_op_t *
 claim_op_new(claim_op_kind_t kind, const char *key, const char *token)
 {
@@ -24,7 +24,7 @@
     free(op);
 }
 
-/* The key under which a caller's idempotency key stands in the log. */
+/* Derives the key of the log for a caller's idempotency key. */
 void
 claim_key(const char *workspace, const char *service, const char *key,
           char out[CLAIM_KEY_LEN + 1])
@@ -38,35 +38,35 @@
     (void)sodium_bin2hex(out, CLAIM_KEY_LEN + 1, raw, sizeof(raw));
 }
 
-/* Fold one entry in: the first claim of a key stands; its own token may add
- * an outcome; a key whose claim did not run may be claimed again. */
+/* Applies one entry.  The first claim of a key wins, and only its token can
+ * add an outcome; a key whose claim did not run can be claimed again. */
 static void
-fold_entry(json_t *fold, const json_t *entry)
+apply_entry(json_t *claims, const json_t *entry)
 {
     const char *key = json_text(entry, "k");
     const char *token = json_text(entry, "t");
     if (key == NULL || token == NULL) {
         return;
     }
-    json_t *have = json_object_get(fold, key);
+    json_t *current = json_object_get(claims, key);
     if (json_text_is(entry, "s", "claim")) {
-        if (have == NULL || json_text_is(have, "s", "not_run")) {
-            (void)json_object_set_new(fold, key, json_deep_copy(entry));
+        if (current == NULL || json_text_is(current, "s", "not_run")) {
+            (void)json_object_set_new(claims, key, json_deep_copy(entry));
         }
     }
-    else if (have != NULL && json_text_is(have, "t", token) &&
-             json_text_is(have, "s", "claim")) {
-        (void)json_object_set_new(fold, key, json_deep_copy(entry));
+    else if (current != NULL && json_text_is(current, "t", token) &&
+             json_text_is(current, "s", "claim")) {
+        (void)json_object_set_new(claims, key, json_deep_copy(entry));
     }
 }
 
-/* Fold a list of entries in, oldest first. */
+/* Applies a list of entries, oldest first, to a map of key to entry. */
 void
-claim_apply_entries(json_t *fold, const json_t *entries)
+claim_apply_entries(json_t *claims, const json_t *entries)
 {
     size_t i;
     const json_t *entry;
     json_array_foreach (entries, i, entry) {
-        fold_entry(fold, entry);
+        apply_entry(claims, entry);
     }
 }
--- a/kernel/claim-shard.c
+++ b/kernel/claim-shard.c
@@ -3,55 +3,56 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Why this holds.  A claim is won only when its token is read back, or known
- * written, in the head or a sealed chunk that the head names.  Heads change
- * only by a conditional update, so two hosts cannot both append over the same
- * version.  An answer that was lost is settled by reading: the token is there
- * or not; if it is not and the version has not moved, the lost write may
- * still come, and the next write over the same version fences it.  Once an
- * outcome-less claim is seen, nobody else sends: it is unknown. */
+/* Why at most one host sends.  A claim is won only when its token was read, or
+ * is known to be written, in the head or in a sealed chunk that the head
+ * names.  Heads change only by conditional update, so two hosts cannot both
+ * append to the same version.  After a write whose answer was lost, the head
+ * is read: the token is there or not.  If it is not and the version has not
+ * changed, the lost write may still take effect later; the next write to the
+ * same version fences it.  A claim without an outcome is never taken over by
+ * another token: whether it ran is unknown. */
 
 typedef enum {
     PHASE_IDLE,
-    PHASE_HEAD,
-    PHASE_SEALED,
-    PHASE_SEAL,
-    PHASE_PUT
+    PHASE_READ_HEAD,
+    PHASE_READ_CHUNK,
+    PHASE_WRITE_CHUNK,
+    PHASE_WRITE_HEAD
 } phase_t;
 
 struct claim_shard {
     unsigned index;
     phase_t phase;
-    bool known;
-    int64_t version;
-    uint64_t reads; /* of the head */
+    bool head_known;
+    int64_t version;     /* of the head */
+    uint64_t head_reads; /* successful ones, counted */
     json_t *head;
-    json_t *writing; /* the head that a put carries */
-    json_t *fold;    /* key -> {"t","s","st","b"} over chunks and entries */
-    json_t *chunks;  /* sealed chunks that are in the fold, by name */
-    char waiting[96];
-    bool sealed_now; /* the full head has been copied to a sealed chunk */
-    claim_ops_t ops;
-    claim_ops_t ended;
+    json_t *pending_head; /* the head that the current put writes */
+    json_t *claims;       /* key -> its entry, from the chunks and the head */
+    json_t *chunks;       /* name -> entries, of the sealed chunks read */
+    char reading_object[96];
+    bool head_sealed; /* the full head has been copied to a sealed chunk */
+    claim_ops_t pending;
+    claim_ops_t completed;
 };
 
 static json_t *
-head_empty(void)
+empty_head(void)
 {
     return json_pack("{s:i,s:[],s:[]}", "chunk", 0, "sealed", "entries");
 }
 
-/* A shard that has read nothing yet. */
+/* Creates a shard that has read nothing yet. */
 claim_shard_t *
 claim_shard_new(unsigned index)
 {
     claim_shard_t *shard = mem_zalloc(sizeof(*shard));
     shard->index = index;
-    shard->head = head_empty();
-    shard->fold = json_object();
+    shard->head = empty_head();
+    shard->claims = json_object();
     shard->chunks = json_object();
-    CK_STAILQ_INIT(&shard->ops);
-    CK_STAILQ_INIT(&shard->ended);
+    CK_STAILQ_INIT(&shard->pending);
+    CK_STAILQ_INIT(&shard->completed);
     return shard;
 }
 
@@ -65,66 +66,68 @@
     }
 }
 
-/* Free the shard and all operations that it still has. */
+/* Frees the shard and all operations that it still has. */
 void
 claim_shard_free(claim_shard_t *shard)
 {
-    free_ops(&shard->ops);
-    free_ops(&shard->ended);
+    free_ops(&shard->pending);
+    free_ops(&shard->completed);
     json_decref(shard->head);
-    json_decref(shard->writing);
-    json_decref(shard->fold);
+    json_decref(shard->pending_head);
+    json_decref(shard->claims);
     json_decref(shard->chunks);
     free(shard);
 }
 
-/* Hand an operation in; it comes back by claim_shard_take_completed. */
+/* Submits an operation; claim_shard_take_completed returns it. */
 void
 claim_shard_submit(claim_shard_t *shard, claim_op_t *op)
 {
     op->state = CLAIM_PENDING;
-    op->head_reads_at_submit = shard->reads;
-    CK_STAILQ_INSERT_TAIL(&shard->ops, op, entry);
+    op->head_reads_at_submit = shard->head_reads;
+    CK_STAILQ_INSERT_TAIL(&shard->pending, op, entry);
 }
 
-/* The next operation that has ended, or NULL. */
+/* The next completed operation, or NULL. */
 claim_op_t *
 claim_shard_take_completed(claim_shard_t *shard)
 {
-    claim_op_t *op = CK_STAILQ_FIRST(&shard->ended);
+    claim_op_t *op = CK_STAILQ_FIRST(&shard->completed);
     if (op != NULL) {
-        CK_STAILQ_REMOVE_HEAD(&shard->ended, entry);
+        CK_STAILQ_REMOVE_HEAD(&shard->completed, entry);
     }
     return op;
 }
 
 static void
-op_end(claim_shard_t *shard, claim_op_t *op, claim_state_t state)
+complete_op(claim_shard_t *shard, claim_op_t *op, claim_state_t state)
 {
-    CK_STAILQ_REMOVE(&shard->ops, op, claim_op, entry);
+    CK_STAILQ_REMOVE(&shard->pending, op, claim_op, entry);
     op->state = state;
-    CK_STAILQ_INSERT_TAIL(&shard->ended, op, entry);
+    CK_STAILQ_INSERT_TAIL(&shard->completed, op, entry);
 }
 
-/* Chunks are folded in the order in which the head names them, then the
+/* Applies the chunks in the order in which the head names them, then the
  * head's own entries. */
 static void
-fold_all(claim_shard_t *shard)
+rebuild_claims(claim_shard_t *shard)
 {
     size_t i;
     const json_t *chunk;
-    json_decref(shard->fold);
-    shard->fold = json_object();
+    json_decref(shard->claims);
+    shard->claims = json_object();
     json_array_foreach (json_object_get(shard->head, "sealed"), i, chunk) {
         const char *name = json_text(chunk, "n");
-        claim_apply_entries(shard->fold, json_object_get(shard->chunks, name));
+        claim_apply_entries(shard->claims,
+                            json_object_get(shard->chunks, name));
     }
-    claim_apply_entries(shard->fold, json_object_get(shard->head, "entries"));
+    claim_apply_entries(shard->claims,
+                        json_object_get(shard->head, "entries"));
 }
 
 /* The first sealed chunk that has not been read, or NULL. */
 static const char *
-chunk_missing(const claim_shard_t *shard)
+next_unread_chunk(const claim_shard_t *shard)
 {
     size_t i;
     const json_t *chunk;
@@ -138,63 +141,63 @@
 }
 
 static void
-op_take_outcome(claim_op_t *op, const json_t *have)
+copy_outcome(claim_op_t *op, const json_t *current)
 {
-    const char *body = json_text(have, "b");
-    op->status = (int)json_int(have, "st", 0);
+    const char *body = json_text(current, "b");
+    op->status = (int)json_int(current, "st", 0);
     free(op->body);
     op->body = body == NULL ? NULL : strdup(body);
 }
 
-/* What the log says of a claim that is asked for: PENDING where it is to be
- * written, or where a fresh read is needed first. */
+/* The state of a claim by the log: PENDING if it has to be written, or if the
+ * head has to be read again first. */
 static claim_state_t
-judge_claim(const claim_shard_t *shard, claim_op_t *op, bool *stale)
+resolve_claim(const claim_shard_t *shard, claim_op_t *op, bool *needs_read)
 {
-    const json_t *have = json_object_get(shard->fold, op->key);
-    if (have == NULL || json_text_is(have, "s", "not_run")) {
+    const json_t *current = json_object_get(shard->claims, op->key);
+    if (current == NULL || json_text_is(current, "s", "not_run")) {
         return CLAIM_PENDING;
     }
-    if (json_text_is(have, "t", op->token)) {
+    if (json_text_is(current, "t", op->token)) {
         return CLAIM_WON;
     }
-    if (json_text_is(have, "s", "done")) {
-        op_take_outcome(op, have);
+    if (json_text_is(current, "s", "done")) {
+        copy_outcome(op, current);
         return CLAIM_DONE;
     }
-    if (shard->reads == op->head_reads_at_submit) {
-        *stale = true;
+    if (shard->head_reads == op->head_reads_at_submit) {
+        *needs_read = true;
         return CLAIM_PENDING;
     }
     return CLAIM_TAKEN;
 }
 
 static claim_state_t
-judge(const claim_shard_t *shard, claim_op_t *op, bool *stale)
+resolve(const claim_shard_t *shard, claim_op_t *op, bool *needs_read)
 {
     if (op->kind == CLAIM_OP_CLAIM) {
-        return judge_claim(shard, op, stale);
+        return resolve_claim(shard, op, needs_read);
     }
-    const json_t *have = json_object_get(shard->fold, op->key);
-    bool mine = have != NULL && json_text_is(have, "t", op->token);
-    if (mine && !json_text_is(have, "s", "claim")) {
+    const json_t *current = json_object_get(shard->claims, op->key);
+    bool is_own = current != NULL && json_text_is(current, "t", op->token);
+    if (is_own && !json_text_is(current, "s", "claim")) {
         return CLAIM_RECORDED;
     }
-    /* A claim that is not there: the note that it did not run is still
-     * written once, because that write fences the claim's own lost one. */
-    if (!mine && !op->may_be_written) {
+    /* If the claim is not in the log, the entry that it did not run is still
+     * written once, because that write fences a lost write of the claim. */
+    if (!is_own && !op->may_be_written) {
         return CLAIM_RECORDED;
     }
     return CLAIM_PENDING;
 }
 
 static json_t *
-entry_of(const claim_op_t *op, int64_t wall_ms)
+make_entry(const claim_op_t *op, int64_t wall_ms)
 {
-    static const char *const words[] = {"claim", "done", "not_run"};
+    static const char *const names[] = {"claim", "done", "not_run"};
     json_t *entry =
         json_pack("{s:s,s:s,s:s,s:I}", "k", op->key, "t", op->token, "s",
-                  words[op->kind], "at", (json_int_t)wall_ms);
+                  names[op->kind], "at", (json_int_t)wall_ms);
     if (op->kind == CLAIM_OP_DONE) {
         (void)json_object_set_new(entry, "st", json_integer(op->status));
         if (op->body != NULL) {
@@ -204,17 +207,17 @@
     return entry;
 }
 
-/* End what the log already decides; say whether a fresh read is needed and
- * whether anything is due to be written. */
+/* Completes the operations that the log already decides; sets needs_read if
+ * the head has to be read again, and due if an operation can be written. */
 static void
-judge_all(claim_shard_t *shard, int64_t now_ms, bool *stale, bool *due)
+resolve_all(claim_shard_t *shard, int64_t now_ms, bool *needs_read, bool *due)
 {
     claim_op_t *op;
     claim_op_t *next;
-    CK_STAILQ_FOREACH_SAFE (op, &shard->ops, entry, next) {
-        claim_state_t state = judge(shard, op, stale);
+    CK_STAILQ_FOREACH_SAFE (op, &shard->pending, entry, next) {
+        claim_state_t state = resolve(shard, op, needs_read);
         if (state != CLAIM_PENDING) {
-            op_end(shard, op, state);
+            complete_op(shard, op, state);
         }
         else if (op->not_before_ms <= now_ms) {
             *due = true;
@@ -223,7 +226,7 @@
 }
 
 static bool
-appended(const json_t *entries, size_t from, const char *key)
+contains_key(const json_t *entries, size_t from, const char *key)
 {
     for (size_t i = from; i < json_array_size(entries); i++) {
         if (json_text_is(json_array_get(entries, i), "k", key)) {
@@ -233,25 +236,25 @@
     return false;
 }
 
-/* The head with all that waits appended; of several claims on one key only
- * the first goes in, the others are judged afterwards. */
+/* The head with all pending operations appended.  Of several on one key only
+ * the first is appended; the others are resolved after the write. */
 static json_t *
-head_next(claim_shard_t *shard, int64_t wall_ms)
+append_pending(claim_shard_t *shard, int64_t wall_ms)
 {
     json_t *head = json_deep_copy(shard->head);
     json_t *entries = json_object_get(head, "entries");
     size_t from = json_array_size(entries);
     claim_op_t *op;
-    CK_STAILQ_FOREACH (op, &shard->ops, entry) {
-        if (!appended(entries, from, op->key)) {
-            (void)json_array_append_new(entries, entry_of(op, wall_ms));
+    CK_STAILQ_FOREACH (op, &shard->pending, entry) {
+        if (!contains_key(entries, from, op->key)) {
+            (void)json_array_append_new(entries, make_entry(op, wall_ms));
         }
     }
     return head;
 }
 
 static void
-chunk_name(const claim_shard_t *shard, char *out, size_t size)
+format_chunk_name(const claim_shard_t *shard, char *out, size_t size)
 {
     (void)snprintf(out, size, "claims/%u-%lld-%lld", shard->index,
                    (long long)json_int(shard->head, "chunk", 0),
@@ -268,16 +271,17 @@
     }
 }
 
-/* Turn a full head whose copy is sealed into an empty one that names it.
- * The sealed name holds the head's version, so it can only be the copy of
- * just this head; the put over that version then makes it count. */
+/* Replaces a full head that was copied to a sealed chunk by an empty one that
+ * names the chunk.  The chunk's name contains the head's version, so it can
+ * only be a copy of exactly this head; the conditional put to that version
+ * makes the chunk part of the log. */
 static void
-head_roll(claim_shard_t *shard, int64_t wall_ms)
+roll_head(claim_shard_t *shard, int64_t wall_ms)
 {
     char name[96];
     json_t *sealed = json_object_get(shard->head, "sealed");
     json_t *entries = json_object_get(shard->head, "entries");
-    chunk_name(shard, name, sizeof(name));
+    format_chunk_name(shard, name, sizeof(name));
     (void)json_object_set(shard->chunks, name, entries);
     drop_old_chunks(sealed, wall_ms);
     (void)json_array_append_new(
@@ -289,86 +293,89 @@
 }
 
 static claim_action_t
-act_get(claim_shard_t *shard, phase_t phase, const char *object)
+begin_get(claim_shard_t *shard, phase_t phase, const char *object)
 {
-    claim_action_t act = {.kind = CLAIM_ACTION_GET};
+    claim_action_t action = {.kind = CLAIM_ACTION_GET};
     shard->phase = phase;
-    str_copy(act.object, sizeof(act.object), object);
-    str_copy(shard->waiting, sizeof(shard->waiting), object);
-    return act;
+    str_copy(action.object, sizeof(action.object), object);
+    str_copy(shard->reading_object, sizeof(shard->reading_object), object);
+    return action;
 }
 
 static claim_action_t
-act_read_head(claim_shard_t *shard)
+begin_head_read(claim_shard_t *shard)
 {
     char name[96];
     (void)snprintf(name, sizeof(name), "claims/%u", shard->index);
-    return act_get(shard, PHASE_HEAD, name);
+    return begin_get(shard, PHASE_READ_HEAD, name);
 }
 
 static claim_action_t
-act_seal(claim_shard_t *shard)
+begin_chunk_write(claim_shard_t *shard)
 {
-    claim_action_t act = {.kind = CLAIM_ACTION_PUT, .version = 0};
-    shard->phase = PHASE_SEAL;
-    chunk_name(shard, act.object, sizeof(act.object));
-    act.value = json_deep_copy(json_object_get(shard->head, "entries"));
-    return act;
+    claim_action_t action = {.kind = CLAIM_ACTION_PUT, .version = 0};
+    shard->phase = PHASE_WRITE_CHUNK;
+    format_chunk_name(shard, action.object, sizeof(action.object));
+    action.value = json_deep_copy(json_object_get(shard->head, "entries"));
+    return action;
 }
 
-/* From here on a write that holds these operations may take effect. */
+/* From now on a write of these operations may take effect. */
 static void
-mark_maybe(claim_shard_t *shard)
+mark_may_be_written(claim_shard_t *shard)
 {
     claim_op_t *op;
-    CK_STAILQ_FOREACH (op, &shard->ops, entry) {
+    CK_STAILQ_FOREACH (op, &shard->pending, entry) {
         op->may_be_written = true;
     }
 }
 
 static claim_action_t
-act_put_head(claim_shard_t *shard, int64_t wall_ms)
-{
-    claim_action_t act = {.kind = CLAIM_ACTION_PUT, .version = shard->version};
-    shard->phase = PHASE_PUT;
-    mark_maybe(shard);
-    if (shard->sealed_now) {
-        head_roll(shard, wall_ms);
-    }
-    (void)snprintf(act.object, sizeof(act.object), "claims/%u", shard->index);
-    json_decref(shard->writing);
-    shard->writing = head_next(shard, wall_ms);
-    act.value = json_deep_copy(shard->writing); /* leaves the lock */
-    return act;
-}
-
-/* Give up on claims whose time is up.  One that may have been written leaves
- * a note behind that it did not run, because it will never be sent. */
+begin_head_write(claim_shard_t *shard, int64_t wall_ms)
+{
+    claim_action_t action = {.kind = CLAIM_ACTION_PUT,
+                             .version = shard->version};
+    shard->phase = PHASE_WRITE_HEAD;
+    mark_may_be_written(shard);
+    if (shard->head_sealed) {
+        roll_head(shard, wall_ms);
+    }
+    (void)snprintf(action.object, sizeof(action.object), "claims/%u",
+                   shard->index);
+    json_decref(shard->pending_head);
+    shard->pending_head = append_pending(shard, wall_ms);
+    action.value = json_deep_copy(shard->pending_head); /* used unlocked */
+    return action;
+}
+
+/* Ends the operations past their deadline.  For a claim that may have been
+ * written, an entry that it did not run is submitted, because it will never be
+ * sent. */
 static void
-expire(claim_shard_t *shard, int64_t now_ms)
+expire_ops(claim_shard_t *shard, int64_t now_ms)
 {
     claim_op_t *op;
     claim_op_t *next;
-    CK_STAILQ_FOREACH_SAFE (op, &shard->ops, entry, next) {
+    CK_STAILQ_FOREACH_SAFE (op, &shard->pending, entry, next) {
         if (op->deadline_ms > now_ms) {
             continue;
         }
         if (op->kind == CLAIM_OP_CLAIM && op->may_be_written) {
-            claim_op_t *note =
+            claim_op_t *not_run =
                 claim_op_new(CLAIM_OP_NOT_RUN, op->key, op->token);
-            note->may_be_written = true;
-            note->deadline_ms = now_ms + 600000;
-            claim_shard_submit(shard, note);
+            not_run->may_be_written = true;
+            not_run->deadline_ms = now_ms + 600000;
+            claim_shard_submit(shard, not_run);
         }
-        op_end(shard, op, CLAIM_UNAVAILABLE);
+        complete_op(shard, op, CLAIM_UNAVAILABLE);
     }
 }
 
 static bool
-any_due(const claim_shard_t *shard, int64_t now_ms)
+has_due_op(const claim_shard_t *shard, int64_t now_ms)
 {
     claim_op_t *op;
-    CK_STAILQ_FOREACH (op, &shard->ops, entry) {
+    CK_STAILQ_FOREACH (op, &shard->pending, entry) {
         if (op->not_before_ms <= now_ms) {
             return true;
         }
@@ -376,48 +383,48 @@
     return false;
 }
 
-/* What is to be asked of the store next; NONE while an answer is awaited or
- * nothing is due.  now_ms is monotonic, wall_ms goes into the log. */
+/* The next call to the store; NONE while an answer is awaited or nothing is
+ * due.  now_ms is monotonic, wall_ms goes into the log. */
 claim_action_t
 claim_shard_next_action(claim_shard_t *shard, int64_t now_ms, int64_t wall_ms)
 {
     claim_action_t none = {.kind = CLAIM_ACTION_NONE};
-    bool stale = false;
+    bool needs_read = false;
     bool due = false;
     if (shard->phase != PHASE_IDLE) {
         return none;
     }
-    if (!shard->known) {
-        expire(shard, now_ms);
-        return any_due(shard, now_ms) ? act_read_head(shard) : none;
+    if (!shard->head_known) {
+        expire_ops(shard, now_ms);
+        return has_due_op(shard, now_ms) ? begin_head_read(shard) : none;
     }
-    const char *missing = chunk_missing(shard);
+    const char *missing = next_unread_chunk(shard);
     if (missing != NULL) {
-        return act_get(shard, PHASE_SEALED, missing);
+        return begin_get(shard, PHASE_READ_CHUNK, missing);
     }
-    judge_all(shard, now_ms, &stale, &due);
-    expire(shard, now_ms);
-    if (stale && !CK_STAILQ_EMPTY(&shard->ops)) {
-        return act_read_head(shard);
+    resolve_all(shard, now_ms, &needs_read, &due);
+    expire_ops(shard, now_ms);
+    if (needs_read && !CK_STAILQ_EMPTY(&shard->pending)) {
+        return begin_head_read(shard);
     }
-    if (!due || CK_STAILQ_EMPTY(&shard->ops)) {
+    if (!due || CK_STAILQ_EMPTY(&shard->pending)) {
         return none;
     }
-    if (!shard->sealed_now &&
+    if (!shard->head_sealed &&
         json_array_size(json_object_get(shard->head, "entries")) >=
             CLAIM_CHUNK_ENTRIES) {
-        return act_seal(shard);
+        return begin_chunk_write(shard);
     }
-    return act_put_head(shard, wall_ms);
+    return begin_head_write(shard, wall_ms);
 }
 
-/* The store cannot be asked: claims are refused at once, outcomes are kept
- * and tried again. */
+/* The store is unavailable: claims fail at once, outcomes are kept and
+ * retried. */
 static void
-give_up(claim_shard_t *shard, int64_t now_ms)
+handle_unavailable(claim_shard_t *shard, int64_t now_ms)
 {
     claim_op_t *op;
-    CK_STAILQ_FOREACH (op, &shard->ops, entry) {
+    CK_STAILQ_FOREACH (op, &shard->pending, entry) {
         if (op->kind == CLAIM_OP_CLAIM) {
             op->deadline_ms = now_ms;
         }
@@ -425,50 +432,51 @@
             op->not_before_ms = now_ms + CLAIM_RETRY_MS;
         }
     }
-    shard->known = false;
-    shard->sealed_now = false;
-    expire(shard, now_ms);
+    shard->head_known = false;
+    shard->head_sealed = false;
+    expire_ops(shard, now_ms);
 }
 
 static void
-reply_head(claim_shard_t *shard, const store_reply_t *reply, int64_t now_ms)
+apply_head(claim_shard_t *shard, const store_reply_t *reply, int64_t now_ms)
 {
     if (reply->result != STORE_OK && reply->result != STORE_ABSENT) {
-        give_up(shard, now_ms);
+        handle_unavailable(shard, now_ms);
         return;
     }
     json_decref(shard->head);
     shard->head = reply->result == STORE_OK ? json_deep_copy(reply->value)
-                                            : head_empty();
+                                            : empty_head();
     shard->version = reply->version;
-    shard->known = true;
-    shard->sealed_now = false;
-    shard->reads++;
-    if (chunk_missing(shard) == NULL) {
-        fold_all(shard);
+    shard->head_known = true;
+    shard->head_sealed = false;
+    shard->head_reads++;
+    if (next_unread_chunk(shard) == NULL) {
+        rebuild_claims(shard);
     }
 }
 
 static void
-reply_sealed(claim_shard_t *shard, const store_reply_t *reply, int64_t now_ms)
+apply_chunk(claim_shard_t *shard, const store_reply_t *reply, int64_t now_ms)
 {
     if (reply->result != STORE_OK) {
-        give_up(shard, now_ms);
+        handle_unavailable(shard, now_ms);
         return;
     }
-    (void)json_object_set(shard->chunks, shard->waiting, reply->value);
-    if (chunk_missing(shard) == NULL) {
-        fold_all(shard);
+    (void)json_object_set(shard->chunks, shard->reading_object, reply->value);
+    if (next_unread_chunk(shard) == NULL) {
+        rebuild_claims(shard);
     }
 }
 
-/* Once a put has succeeded, no older one can: what it fenced is settled, so
- * an outcome or a note needs no second writing. */
+/* After a successful put of the head no older one can succeed.  The lost
+ * writes that it fenced will never take effect, so an outcome need not be
+ * written again. */
 static void
-mark_written(claim_shard_t *shard)
+clear_may_be_written(claim_shard_t *shard)
 {
     claim_op_t *op;
-    CK_STAILQ_FOREACH (op, &shard->ops, entry) {
+    CK_STAILQ_FOREACH (op, &shard->pending, entry) {
         if (op->kind != CLAIM_OP_CLAIM) {
             op->may_be_written = false;
         }
@@ -476,29 +484,29 @@
 }
 
 static void
-reply_put(claim_shard_t *shard, const store_reply_t *reply, int64_t now_ms)
+apply_write(claim_shard_t *shard, const store_reply_t *reply, int64_t now_ms)
 {
     switch (reply->result) {
         case STORE_OK:
             json_decref(shard->head);
-            shard->head = json_deep_copy(shard->writing);
+            shard->head = json_deep_copy(shard->pending_head);
             shard->version = reply->version;
-            shard->sealed_now = false;
-            mark_written(shard);
-            fold_all(shard);
+            shard->head_sealed = false;
+            clear_may_be_written(shard);
+            rebuild_claims(shard);
             return;
         case STORE_REFUSED:
-            give_up(shard, now_ms);
+            handle_unavailable(shard, now_ms);
             return;
         case STORE_LOST:
         case STORE_CONFLICT:
         case STORE_ABSENT:
-            shard->known = false;
+            shard->head_known = false;
             return;
     }
 }
 
-/* Take in the store's answer to what claim_shard_next_action asked for. */
+/* Applies the store's reply to the action of claim_shard_next_action. */
 void
 claim_shard_apply_reply(claim_shard_t *shard, const store_reply_t *reply,
                         int64_t now_ms)
@@ -506,22 +514,22 @@
     phase_t phase = shard->phase;
     shard->phase = PHASE_IDLE;
     switch (phase) {
-        case PHASE_HEAD:
-            reply_head(shard, reply, now_ms);
+        case PHASE_READ_HEAD:
+            apply_head(shard, reply, now_ms);
             return;
-        case PHASE_SEALED:
-            reply_sealed(shard, reply, now_ms);
+        case PHASE_READ_CHUNK:
+            apply_chunk(shard, reply, now_ms);
             return;
-        case PHASE_SEAL:
-            /* A conflict means that the same copy is there already. */
-            shard->sealed_now =
+        case PHASE_WRITE_CHUNK:
+            /* A conflict means that the same copy already exists. */
+            shard->head_sealed =
                 reply->result == STORE_OK || reply->result == STORE_CONFLICT;
-            if (!shard->sealed_now) {
-                give_up(shard, now_ms);
+            if (!shard->head_sealed) {
+                handle_unavailable(shard, now_ms);
             }
             return;
-        case PHASE_PUT:
-            reply_put(shard, reply, now_ms);
+        case PHASE_WRITE_HEAD:
+            apply_write(shard, reply, now_ms);
             return;
         case PHASE_IDLE:
             return;
--- a/kernel/claim.h
+++ b/kernel/claim.h
@@ -1,10 +1,11 @@
 #ifndef CELERYSPOOL_CLAIM_H
 #define CELERYSPOOL_CLAIM_H
 
-/* The claim log: which host may send a call that must run at most once.
- * A shard of the log is one object of the platform, its head, to which
- * entries are appended by conditional update; full heads are sealed into
- * objects that never change.  The machine here does no I/O. */
+/* The claim log: decides which host may send a call that must run at most
+ * once.  A shard of the log is one object in the platform's store, its head,
+ * to which entries are appended by conditional update.  The entries of a full
+ * head are copied to a sealed chunk, an object that never changes.  The state
+ * machine of a shard does no I/O. */
 
 #include "store.h"
 
@@ -12,10 +13,10 @@
 
 #define CLAIM_KEY_LEN 32
 #define CLAIM_CHUNK_ENTRIES 256
-#define CLAIM_BODY_MAX 1024 /* bytes of an answer kept for repeats */
+#define CLAIM_BODY_MAX 1024 /* bytes of a response kept for repeats */
 #define CLAIM_RETENTION_MS (24LL * 3600 * 1000)
-#define CLAIM_RECORD_DELAY_MS 50
-#define CLAIM_RETRY_MS 200
+#define CLAIM_RECORD_DELAY_MS 50 /* lets outcomes share one write */
+#define CLAIM_RETRY_MS 200 /* of outcomes, while the store is unavailable */
 
 typedef enum {
     CLAIM_OP_CLAIM,
@@ -26,10 +27,10 @@
 typedef enum {
     CLAIM_PENDING,
     CLAIM_WON,         /* this token alone may send */
-    CLAIM_TAKEN,       /* another token has it, outcome not known */
-    CLAIM_DONE,        /* it ran; status and body tell what came of it */
-    CLAIM_UNAVAILABLE, /* the store could not be asked; nothing may be sent */
-    CLAIM_RECORDED
+    CLAIM_TAKEN,       /* by another token, its outcome is not known */
+    CLAIM_DONE,        /* it ran; status and body are its response */
+    CLAIM_UNAVAILABLE, /* deadline or no store; nothing may be sent */
+    CLAIM_RECORDED     /* an outcome is in the log, or need not be */
 } claim_state_t;
 
 typedef struct claim_op {
@@ -37,15 +38,14 @@
     claim_op_kind_t kind;
     char key[CLAIM_KEY_LEN + 1];
     char token[CS_ID_LEN + 1];
-    int status; /* of CLAIM_OP_DONE, or out */
-    char *body; /* likewise; owned */
+    int status; /* of CLAIM_OP_DONE; set when a claim ends as CLAIM_DONE */
+    char *body; /* of the response, like status; owned */
     int64_t deadline_ms;
-    int64_t not_before_ms; /* not written before, so that writes gather */
-    uint64_t head_reads_at_submit; /* the shard's read count when it was
-                                      submitted */
-    bool may_be_written; /* a write that held it may have taken effect */
+    int64_t not_before_ms; /* earliest write, so that operations share one */
+    uint64_t head_reads_at_submit; /* head_reads of the shard */
+    bool may_be_written;           /* a write of it may have taken effect */
     claim_state_t state;
-    void (*on_done)(struct claim_op *op, void *arg);
+    void (*on_done)(struct claim_op *op, void *arg); /* NULL: not called */
     void *arg;
 } claim_op_t;
 
@@ -60,8 +60,8 @@
 typedef struct {
     claim_action_kind_t kind;
     char object[96];
-    int64_t version;
-    json_t *value; /* of a put; the caller frees it */
+    int64_t version; /* expected by a put, 0: no such object */
+    json_t *value;   /* to put; the caller releases it */
 } claim_action_t;
 
 typedef struct claim_shard claim_shard_t;
@@ -77,11 +77,11 @@
 claim_op_t *claim_op_new(claim_op_kind_t kind, const char *key,
                          const char *token);
 void claim_op_free(claim_op_t *op);
-void claim_apply_entries(json_t *fold, const json_t *entries);
+void claim_apply_entries(json_t *claims, const json_t *entries);
 void claim_key(const char *workspace, const char *service, const char *key,
                char out[CLAIM_KEY_LEN + 1]);
 
-/* The edge that drives the shards over a store. */
+/* Runs the shards against a store. */
 typedef struct claim_log claim_log_t;
 
 claim_log_t *claim_log_new(store_t *store, unsigned shards);
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ASK_TIMEOUT_MS 500
-#define HERD_JITTER_MS 200
+#define FETCH_TIMEOUT_MS 500
+#define STORE_READ_JITTER_MS 200
 
 static json_t *
-facts_json(celeryspoold_t *daemon, size_t max)
+facts_to_json(celeryspoold_t *daemon, size_t max)
 {
     json_t *list = json_array();
     cache_fact_t *facts = mem_zalloc(max * sizeof(*facts));
@@ -26,7 +26,7 @@
 }
 
 static json_t *
-loads_json(celeryspoold_t *daemon)
+loads_to_json(celeryspoold_t *daemon)
 {
     json_t *list = json_array();
     size_t count = view_count(daemon->view);
@@ -44,21 +44,21 @@
     return list;
 }
 
-/* A bounded snapshot of what this daemon knows. */
+/* Makes a snapshot of this daemon's state with at most facts_max facts. */
 json_t *
 snapshot_make(celeryspoold_t *daemon, size_t facts_max)
 {
     config_t *config = daemon_config(daemon);
     json_t *snapshot = json_pack(
         "{s:b,s:O,s:o,s:o}", "warm", daemon_state(daemon) != STATE_WARMING,
-        "config", config->doc, "loads", loads_json(daemon), "facts",
-        facts_json(daemon, facts_max));
+        "config", config->doc, "loads", loads_to_json(daemon), "facts",
+        facts_to_json(daemon, facts_max));
     config_release(config);
     return snapshot;
 }
 
 static void
-take_load(celeryspoold_t *daemon, const json_t *load)
+apply_load(celeryspoold_t *daemon, const json_t *load)
 {
     load_report_t report = {0};
     const char *name;
@@ -72,7 +72,7 @@
     backend_state_t state;
     uint16_t id = view_id(daemon->view, name);
     if (view_get(daemon->view, id, &state) && state.reported) {
-        return; /* what was heard since the start is newer */
+        return; /* a report received since the start is newer */
     }
     str_copy(report.incarnation, sizeof(report.incarnation), incarnation);
     str_copy(report.version, sizeof(report.version), version);
@@ -80,7 +80,7 @@
 }
 
 static void
-take_fact(celeryspoold_t *daemon, const json_t *fact)
+apply_fact(celeryspoold_t *daemon, const json_t *fact)
 {
     const char *name;
     json_int_t key;
@@ -91,8 +91,9 @@
     }
 }
 
-/* Take a snapshot in: loads first, so that a server that has changed since
- * is noticed and its facts are forgotten with the next report. */
+/* Applies a snapshot.  Loads come first: if a server has changed since, the
+ * next report differs from its load here and the facts about it are dropped.
+ */
 void
 snapshot_apply(celeryspoold_t *daemon, json_t *snapshot, const char *source)
 {
@@ -103,18 +104,20 @@
         (void)config_sync_adopt(daemon, doc, 0, source);
     }
     json_array_foreach (json_object_get(snapshot, "loads"), i, item) {
-        take_load(daemon, item);
+        apply_load(daemon, item);
     }
     json_t *facts = json_object_get(snapshot, "facts");
-    for (size_t back = json_array_size(facts); back > 0; back--) {
-        take_fact(daemon, json_array_get(facts, back - 1));
+    for (size_t remaining = json_array_size(facts); remaining > 0;
+         remaining--) {
+        apply_fact(daemon, json_array_get(facts, remaining - 1));
     }
-    log_info("snapshot", "Took %zu facts from %s.", json_array_size(facts),
+    log_info("snapshot", "Applied %zu facts from %s.", json_array_size(facts),
              source);
 }
 
-/* Keep a small snapshot in the store, for a restart of all daemons at once;
- * called on the one that has the duty.  Unconditional: the newest wins. */
+/* Saves a small snapshot in the store, for a restart of all daemons at once;
+ * called on the daemon with the duty "snapshot".  The put is conditional; a
+ * conflict with another daemon is ignored. */
 void
 snapshot_save(celeryspoold_t *daemon)
 {
@@ -129,7 +132,7 @@
 }
 
 static bool
-warm_from_peers(celeryspoold_t *daemon)
+apply_peer_snapshot(celeryspoold_t *daemon)
 {
     const settings_t *settings = &daemon->settings;
     for (unsigned i = 0; i < settings->seed_count; i++) {
@@ -138,7 +141,7 @@
             continue;
         }
         CLEAN_JSON json_t *snapshot =
-            peer_ask(settings->seeds[i], "snapshot", ASK_TIMEOUT_MS, &err);
+            peer_ask(settings->seeds[i], "snapshot", FETCH_TIMEOUT_MS, &err);
         if (snapshot == NULL) {
             continue;
         }
@@ -150,16 +153,16 @@
     return false;
 }
 
-/* Warm up: from a peer that is warm itself, else from the store, after a
- * random pause, so that a herd does not ask it all at once. */
+/* Warms up from a peer that is warm itself, else from the store, after a
+ * random delay so that daemons that start together do not all read at once. */
 void
 snapshot_warm_up(celeryspoold_t *daemon)
 {
-    if (warm_from_peers(daemon)) {
+    if (apply_peer_snapshot(daemon)) {
         return;
     }
     rng_t rng = {daemon->incarnation};
-    time_sleep_ms((int)rng_below(&rng, HERD_JITTER_MS));
+    time_sleep_ms((int)rng_below(&rng, STORE_READ_JITTER_MS));
     CLEAN_JSON json_t *snapshot = NULL;
     int64_t version = 0;
     if (store_get_wait(daemon->store, SNAPSHOT_OBJECT, &version, &snapshot) ==
--- a/kernel/snapshot.h
+++ b/kernel/snapshot.h
@@ -1,8 +1,9 @@
 #ifndef CELERYSPOOL_SNAPSHOT_H
 #define CELERYSPOOL_SNAPSHOT_H
 
-/* What warms a daemon that starts: the configuration, the hottest levels and
- * the loads, from a peer, or a small one from the platform's store. */
+/* A snapshot warms up a daemon that starts.  It has the configuration, the
+ * loads and the most recently reused cache levels, and comes from a peer, or,
+ * with fewer levels, from the platform's store. */
 
 #include "daemon.h"
 
--- a/kernel/store.c
+++ b/kernel/store.c
@@ -14,7 +14,7 @@
     uint64_t calls;
 };
 
-/* A client of the object API at an address. */
+/* Creates a client of the object API at an address. */
 store_t *
 store_new(http_client_t *client, const char *addr, int timeout_ms)
 {
@@ -31,7 +31,7 @@
     free(store);
 }
 
-/* Calls made so far, watches among them. */
+/* Calls since the start, including watches. */
 uint64_t
 store_call_count(const store_t *store)
 {
@@ -41,15 +41,15 @@
 const char *
 store_result_name(store_result_t result)
 {
-    static const char *const words[] = {"ok", "absent", "conflict", "refused",
+    static const char *const names[] = {"ok", "absent", "conflict", "refused",
                                         "lost"};
-    return words[result];
+    return names[result];
 }
 
-/* Turn the end of an exchange into the store's terms.  A server error may
- * come from a layer before or behind the effect, so it counts as lost. */
+/* Maps the end of an exchange to a result.  A server error may have occurred
+ * before or after the write took effect, so it is STORE_LOST. */
 static store_result_t
-result_of(http_end_t end, int status)
+map_result(http_end_t end, int status)
 {
     if (end == HTTP_END_UNSENT) {
         return STORE_REFUSED;
@@ -75,9 +75,9 @@
 }
 
 static store_reply_t
-reply_of(http_end_t end, int status, const buf_t *body, json_t **owned)
+parse_reply(http_end_t end, int status, const buf_t *body, json_t **owned)
 {
-    store_reply_t reply = {.result = result_of(end, status)};
+    store_reply_t reply = {.result = map_result(end, status)};
     if (reply.result != STORE_OK) {
         return reply;
     }
@@ -91,40 +91,40 @@
     return reply;
 }
 
-/* One asynchronous exchange. */
+/* An asynchronous call. */
 typedef struct {
     buf_t body;
     store_callback_t done;
     void *arg;
-} ask_t;
+} pending_call_t;
 
 static void
-ask_on_data(void *arg, int status, const char *data, size_t len)
+on_data_received(void *arg, int status, const char *data, size_t len)
 {
     (void)status;
-    ask_t *ask = arg;
-    buf_add(&ask->body, data, len);
+    pending_call_t *pending = arg;
+    buf_add(&pending->body, data, len);
 }
 
 static void
-ask_on_end(void *arg, http_end_t end, int status)
+on_exchange_end(void *arg, http_end_t end, int status)
 {
-    ask_t *ask = arg;
+    pending_call_t *pending = arg;
     CLEAN_JSON json_t *owned = NULL;
-    store_reply_t reply = reply_of(end, status, &ask->body, &owned);
-    ask->done(ask->arg, &reply);
-    buf_free(&ask->body);
-    free(ask);
+    store_reply_t reply = parse_reply(end, status, &pending->body, &owned);
+    pending->done(pending->arg, &reply);
+    buf_free(&pending->body);
+    free(pending);
 }
 
 static void
-url_of(const store_t *store, const char *name, char out[URL_MAX])
+format_url(const store_t *store, const char *name, char out[URL_MAX])
 {
     (void)snprintf(out, URL_MAX, "http://%s/v1/objects/%s", store->addr, name);
 }
 
 static http_call_t
-call_of(store_t *store, const char *method, const char *url)
+make_call(store_t *store, const char *method, const char *url)
 {
     ck_pr_inc_64(&store->calls);
     return (http_call_t){.method = method,
@@ -134,61 +134,62 @@
 }
 
 static void
-start(store_t *store, http_call_t *call, store_callback_t done, void *arg)
-{
-    ask_t *ask = mem_zalloc(sizeof(*ask));
-    ask->done = done;
-    ask->arg = arg;
-    call->on_data = ask_on_data;
-    call->on_end = ask_on_end;
-    call->arg = ask;
+start_call(store_t *store, http_call_t *call, store_callback_t done, void *arg)
+{
+    pending_call_t *pending = mem_zalloc(sizeof(*pending));
+    pending->done = done;
+    pending->arg = arg;
+    call->on_data = on_data_received;
+    call->on_end = on_exchange_end;
+    call->arg = pending;
     (void)http_client_start(store->client, call);
 }
 
-/* Read an object; done is called on a client thread. */
+/* Reads an object; done is called on a client thread. */
 void
 store_get(store_t *store, const char *name, store_callback_t done, void *arg)
 {
     char url[URL_MAX];
-    url_of(store, name, url);
-    http_call_t call = call_of(store, "GET", url);
-    start(store, &call, done, arg);
+    format_url(store, name, url);
+    http_call_t call = make_call(store, "GET", url);
+    start_call(store, &call, done, arg);
 }
 
 static void
-fill_put(http_call_t *call, char match[48], const char *text, int64_t version)
+set_put_options(http_call_t *call, char if_match[48], const char *text,
+                int64_t version)
 {
-    (void)snprintf(match, 48, "If-Match: %lld", (long long)version);
-    call->headers[0] = match;
+    (void)snprintf(if_match, 48, "If-Match: %lld", (long long)version);
+    call->headers[0] = if_match;
     call->body = text;
     call->body_len = strlen(text);
 }
 
-/* Write an object over a version, 0 for none.  The call goes out on its own
- * connection: a kept one may have died unseen, and then nobody could tell
- * whether the write was done. */
+/* Writes an object if it has the given version, 0 for no object.  The call
+ * uses a new connection: a kept-alive one may have been closed unnoticed, and
+ * then it would be unknown whether the write took effect. */
 void
 store_put(store_t *store, const char *name, int64_t version,
           const json_t *value, store_callback_t done, void *arg)
 {
     char url[URL_MAX];
-    char match[48];
+    char if_match[48];
     CLEAN_TEXT char *text = json_dumps(value, JSON_COMPACT);
-    url_of(store, name, url);
-    http_call_t call = call_of(store, "PUT", url);
-    fill_put(&call, match, text, version);
+    format_url(store, name, url);
+    http_call_t call = make_call(store, "PUT", url);
+    set_put_options(&call, if_match, text, version);
     call.fresh = true;
-    start(store, &call, done, arg);
+    start_call(store, &call, done, arg);
 }
 
 static store_result_t
-fetch(const http_call_t *call, int64_t *version, json_t **value)
+fetch_object(const http_call_t *call, int64_t *version, json_t **value)
 {
     CLEAN_BUF buf_t body = {0};
     CLEAN_JSON json_t *owned = NULL;
     int status = 0;
     http_end_t end = http_fetch(call, &status, &body);
-    store_reply_t reply = reply_of(end, status, &body, &owned);
+    store_reply_t reply = parse_reply(end, status, &body, &owned);
     if (reply.result == STORE_OK) {
         *version = reply.version;
         if (value != NULL) {
@@ -198,20 +199,20 @@
     return reply.result;
 }
 
-/* Read an object and wait for it. */
+/* Reads an object and waits for the answer. */
 store_result_t
 store_get_wait(store_t *store, const char *name, int64_t *version,
                json_t **value)
 {
     char url[URL_MAX];
-    url_of(store, name, url);
-    http_call_t call = call_of(store, "GET", url);
-    return fetch(&call, version, value);
+    format_url(store, name, url);
+    http_call_t call = make_call(store, "GET", url);
+    return fetch_object(&call, version, value);
 }
 
-/* Wait for a version above the given one, at most so long.  The exchange has
- * a bound of its own behind that, since a watch whose connection has gone
- * silent would otherwise wait for good. */
+/* Waits at most wait_ms for a version above the given one.  The exchange has a
+ * slightly longer timeout, since a watch on a connection that has gone dead
+ * would otherwise wait forever. */
 store_result_t
 store_watch_wait(store_t *store, const char *name, int64_t after, int wait_ms,
                  int64_t *version, json_t **value)
@@ -220,23 +221,24 @@
     (void)snprintf(url, sizeof(url),
                    "http://%s/v1/objects/%s?after=%lld&timeout_ms=%d",
                    store->addr, name, (long long)after, wait_ms);
-    http_call_t call = call_of(store, "GET", url);
+    http_call_t call = make_call(store, "GET", url);
     call.total_ms = wait_ms + store->timeout_ms;
-    return fetch(&call, version, value);
+    return fetch_object(&call, version, value);
 }
 
-/* Write an object over a version and wait for the answer. */
+/* Writes an object if it has the expected version, and waits for the answer.
+ */
 store_result_t
 store_put_wait(store_t *store, const char *name, int64_t expected,
                const json_t *value, int64_t *version)
 {
     char url[URL_MAX];
-    char match[48];
+    char if_match[48];
     CLEAN_TEXT char *text = json_dumps(value, JSON_COMPACT);
-    url_of(store, name, url);
-    http_call_t call = call_of(store, "PUT", url);
-    fill_put(&call, match, text, expected);
-    return fetch(&call, version, NULL);
+    format_url(store, name, url);
+    http_call_t call = make_call(store, "PUT", url);
+    set_put_options(&call, if_match, text, expected);
+    return fetch_object(&call, version, NULL);
 }
 
 /* The platform's list of hosts, or NULL. */
@@ -247,7 +249,7 @@
     CLEAN_BUF buf_t body = {0};
     int status = 0;
     (void)snprintf(url, sizeof(url), "http://%s/v1/hosts", store->addr);
-    http_call_t call = call_of(store, "GET", url);
+    http_call_t call = make_call(store, "GET", url);
     if (http_fetch(&call, &status, &body) != HTTP_END_WHOLE || status != 200) {
         return NULL;
     }
--- a/kernel/store.h
+++ b/kernel/store.h
@@ -1,7 +1,8 @@
 #ifndef CELERYSPOOL_STORE_H
 #define CELERYSPOOL_STORE_H
 
-/* The platform's object API: versions, conditional update, watch. */
+/* A client of the platform's object API: versioned objects, conditional
+ * update, watch. */
 
 #define STORE_VALUE_MAX (1 << 20) /* bytes of one object */
 
@@ -9,16 +10,16 @@
 
 typedef enum {
     STORE_OK,
-    STORE_ABSENT,   /* no such object, or a watch that ran out */
-    STORE_CONFLICT, /* the version is not the one that was named */
-    STORE_REFUSED,  /* surely no effect: unreachable, or over the rate */
-    STORE_LOST      /* the effect is not known: cut, timeout, server error */
+    STORE_ABSENT,   /* no such object, or a watch that timed out */
+    STORE_CONFLICT, /* the object has another version than expected */
+    STORE_REFUSED,  /* no effect: unreachable, invalid, or rate limited */
+    STORE_LOST      /* effect unknown: broken off, timeout, server error */
 } store_result_t;
 
 typedef struct {
     store_result_t result;
     int64_t version;
-    json_t *value; /* of a read; the receiver borrows it */
+    json_t *value; /* of a read; borrowed, released after the callback */
 } store_reply_t;
 
 typedef void (*store_callback_t)(void *arg, const store_reply_t *reply);
