--- a/tests/test-claim.c
+++ b/tests/test-claim.c
@@ -4,134 +4,134 @@
 
 #include <string.h>
 
-/* Several daemons' claim shards against one object store, in virtual time
- * with seeded faults: answers lost after their effect, writes that come
- * late, a store that is down, daemons frozen, killed between claim, send and
- * outcome.  Every run is a history that the checker reads. */
+/* The claim shards of several daemons against one object store, in virtual
+ * time with seeded faults: replies lost after the write took effect, delayed
+ * writes, a store that is down, daemons that freeze, or are killed between
+ * claim, send and outcome.  The checker verifies the history of each run. */
 
 #define DAEMONS 3
 #define KEYS 12
 #define ATTEMPTS 3
 #define STEPS 4000
 #define RUNS 1500
-#define FLIGHT_MAX 64
+#define EXCHANGES_MAX 64
 
-/* One exchange with the store that is under way. */
+/* An exchange with the store in flight. */
 typedef struct {
     bool live;
     int daemon;
-    int life; /* the daemon's at the time; an answer to a dead one is lost */
-    int64_t effect_at;
-    int64_t answer_at;
+    int incarnation; /* the daemon's when sent; -1: timed out */
+    int64_t effect_ms;
+    int64_t answer_ms;
     bool applied;
     bool lost;
-    claim_action_t act;
+    claim_action_t action;
     store_reply_t reply;
     json_t *value;
-} flight_t;
+} exchange_t;
 
 typedef struct {
     claim_shard_t *shard;
-    int life;
-    int64_t frozen_until;
-    bool asking;
-} host_t;
+    int incarnation;
+    int64_t frozen_until_ms;
+    bool awaiting_reply;
+} sim_host_t;
 
 typedef struct {
     rng_t rng;
-    int64_t now;
+    int64_t now_ms;
     json_t *objects; /* name -> {"version","value"} */
     int64_t version;
-    int64_t down_until;
-    bool conditional; /* the guard: off shows what it is for */
-    host_t hosts[DAEMONS];
-    flight_t flights[FLIGHT_MAX];
-    json_t *answers; /* key -> outcomes told to callers */
-    json_t *effects; /* key -> how often it ran */
-    int asked[KEYS];
-} world_t;
+    int64_t down_until_ms;
+    bool conditional; /* false: the store ignores expected versions */
+    sim_host_t hosts[DAEMONS];
+    exchange_t exchanges[EXCHANGES_MAX];
+    json_t *answers;    /* key -> outcomes reported to callers */
+    json_t *run_counts; /* key -> how often it ran */
+    int attempt_counts[KEYS];
+} sim_t;
 
 static void
-store_apply(world_t *world, flight_t *flight)
+store_apply(sim_t *sim, exchange_t *exchange)
 {
-    claim_action_t *act = &flight->act;
-    json_t *object = json_object_get(world->objects, act->object);
+    claim_action_t *action = &exchange->action;
+    json_t *object = json_object_get(sim->objects, action->object);
     int64_t have = json_int(object, "version", 0);
-    flight->applied = true;
-    if (world->now < world->down_until) {
-        flight->reply.result = STORE_REFUSED;
+    exchange->applied = true;
+    if (sim->now_ms < sim->down_until_ms) {
+        exchange->reply.result = STORE_REFUSED;
         return;
     }
-    if (act->kind == CLAIM_ACTION_GET) {
-        flight->reply.result = object == NULL ? STORE_ABSENT : STORE_OK;
-        flight->reply.version = have;
-        flight->value = json_deep_copy(json_object_get(object, "value"));
+    if (action->kind == CLAIM_ACTION_GET) {
+        exchange->reply.result = object == NULL ? STORE_ABSENT : STORE_OK;
+        exchange->reply.version = have;
+        exchange->value = json_deep_copy(json_object_get(object, "value"));
         return;
     }
-    if (world->conditional && act->version != have) {
-        flight->reply.result = STORE_CONFLICT;
+    if (sim->conditional && action->version != have) {
+        exchange->reply.result = STORE_CONFLICT;
         return;
     }
-    world->version++;
+    sim->version++;
     (void)json_object_set_new(
-        world->objects, act->object,
-        json_pack("{s:I,s:O}", "version", (json_int_t)world->version, "value",
-                  act->value));
-    flight->reply.result = STORE_OK;
-    flight->reply.version = world->version;
+        sim->objects, action->object,
+        json_pack("{s:I,s:O}", "version", (json_int_t)sim->version, "value",
+                  action->value));
+    exchange->reply.result = STORE_OK;
+    exchange->reply.version = sim->version;
 }
 
 static void
-told(world_t *world, const char *key, const char *outcome)
+record_outcome(sim_t *sim, const char *key, const char *outcome)
 {
-    json_t *list = json_object_get(world->answers, key);
+    json_t *list = json_object_get(sim->answers, key);
     (void)json_array_append_new(list, json_string(outcome));
 }
 
-/* A won claim is sent, unless the host dies first; then its outcome is
- * recorded, unless the host dies before. */
+/* Sends a won claim, unless the host dies first, and then records its outcome,
+ * unless the host dies before that. */
 static void
-send_once(world_t *world, int daemon, const claim_op_t *won)
+send_claimed(sim_t *sim, int daemon, const claim_op_t *won)
 {
-    host_t *host = &world->hosts[daemon];
-    if (rng_below(&world->rng, 12) == 0) {
-        told(world, won->key, "unknown");
+    sim_host_t *host = &sim->hosts[daemon];
+    if (rng_below(&sim->rng, 12) == 0) {
+        record_outcome(sim, won->key, "unknown");
         return;
     }
-    int64_t count = json_int(world->effects, won->key, 0);
-    (void)json_object_set_new(world->effects, won->key,
+    int64_t count = json_int(sim->run_counts, won->key, 0);
+    (void)json_object_set_new(sim->run_counts, won->key,
                               json_integer(count + 1));
-    if (rng_below(&world->rng, 12) == 0) {
-        told(world, won->key, "unknown");
+    if (rng_below(&sim->rng, 12) == 0) {
+        record_outcome(sim, won->key, "unknown");
         return;
     }
-    told(world, won->key, "done");
+    record_outcome(sim, won->key, "done");
     claim_op_t *record = claim_op_new(CLAIM_OP_DONE, won->key, won->token);
     record->status = 200;
-    record->deadline_ms = world->now + 100000;
-    record->not_before_ms = world->now + 50;
+    record->deadline_ms = sim->now_ms + 100000;
+    record->not_before_ms = sim->now_ms + 50;
     claim_shard_submit(host->shard, record);
 }
 
 static void
-take_ended(world_t *world, int daemon)
+handle_completed(sim_t *sim, int daemon)
 {
     claim_op_t *op;
-    while ((op = claim_shard_take_completed(world->hosts[daemon].shard)) !=
+    while ((op = claim_shard_take_completed(sim->hosts[daemon].shard)) !=
            NULL) {
         if (op->kind == CLAIM_OP_CLAIM) {
             switch (op->state) {
                 case CLAIM_WON:
-                    send_once(world, daemon, op);
+                    send_claimed(sim, daemon, op);
                     break;
                 case CLAIM_DONE:
-                    told(world, op->key, "done");
+                    record_outcome(sim, op->key, "done");
                     break;
                 case CLAIM_TAKEN:
-                    told(world, op->key, "unknown");
+                    record_outcome(sim, op->key, "unknown");
                     break;
                 default:
-                    told(world, op->key, "not_run");
+                    record_outcome(sim, op->key, "not_run");
                     break;
             }
         }
@@ -140,238 +140,239 @@
 }
 
 static void
-flight_end(world_t *world, flight_t *flight)
+exchange_end(sim_t *sim, exchange_t *exchange)
 {
-    host_t *host = &world->hosts[flight->daemon];
-    if (host->life == flight->life) {
-        if (flight->lost) {
-            flight->reply = (store_reply_t){.result = STORE_LOST};
+    sim_host_t *host = &sim->hosts[exchange->daemon];
+    if (host->incarnation == exchange->incarnation) {
+        if (exchange->lost) {
+            exchange->reply = (store_reply_t){.result = STORE_LOST};
         }
-        flight->reply.value = flight->value;
-        claim_shard_apply_reply(host->shard, &flight->reply, world->now);
-        host->asking = false;
+        exchange->reply.value = exchange->value;
+        claim_shard_apply_reply(host->shard, &exchange->reply, sim->now_ms);
+        host->awaiting_reply = false;
     }
-    json_decref(flight->value);
-    json_decref(flight->act.value);
-    memset(flight, 0, sizeof(*flight));
+    json_decref(exchange->value);
+    json_decref(exchange->action.value);
+    memset(exchange, 0, sizeof(*exchange));
 }
 
 static void
-fly(world_t *world)
+advance_exchanges(sim_t *sim)
 {
-    for (int i = 0; i < FLIGHT_MAX; i++) {
-        flight_t *flight = &world->flights[i];
-        if (!flight->live) {
+    for (int i = 0; i < EXCHANGES_MAX; i++) {
+        exchange_t *exchange = &sim->exchanges[i];
+        if (!exchange->live) {
             continue;
         }
-        if (!flight->applied && world->now >= flight->effect_at) {
-            store_apply(world, flight);
+        if (!exchange->applied && sim->now_ms >= exchange->effect_ms) {
+            store_apply(sim, exchange);
         }
-        host_t *host = &world->hosts[flight->daemon];
-        bool awake = world->now >= host->frozen_until;
-        if (flight->live && world->now >= flight->answer_at && awake &&
-            flight->applied) {
-            flight_end(world, flight);
+        sim_host_t *host = &sim->hosts[exchange->daemon];
+        bool is_awake = sim->now_ms >= host->frozen_until_ms;
+        if (exchange->live && sim->now_ms >= exchange->answer_ms && is_awake &&
+            exchange->applied) {
+            exchange_end(sim, exchange);
         }
-        else if (flight->live && world->now >= flight->answer_at && awake &&
-                 host->asking && host->life == flight->life) {
-            /* The answer is not waited for any longer; the write may come
-             * later all the same. */
+        else if (exchange->live && sim->now_ms >= exchange->answer_ms &&
+                 is_awake && host->awaiting_reply &&
+                 host->incarnation == exchange->incarnation) {
+            /* The daemon times out; the write may still take effect later.
+             */
             store_reply_t lost = {.result = STORE_LOST};
-            claim_shard_apply_reply(host->shard, &lost, world->now);
-            host->asking = false;
-            flight->life = -1;
+            claim_shard_apply_reply(host->shard, &lost, sim->now_ms);
+            host->awaiting_reply = false;
+            exchange->incarnation = -1;
         }
     }
 }
 
 static void
-launch(world_t *world, int daemon, claim_action_t act)
+start_exchange(sim_t *sim, int daemon, claim_action_t action)
 {
-    for (int i = 0; i < FLIGHT_MAX; i++) {
-        flight_t *flight = &world->flights[i];
-        if (flight->live) {
+    for (int i = 0; i < EXCHANGES_MAX; i++) {
+        exchange_t *exchange = &sim->exchanges[i];
+        if (exchange->live) {
             continue;
         }
-        uint64_t dice = rng_below(&world->rng, 20);
-        int64_t late = dice == 0 ? 300 : 0;
-        *flight = (flight_t){.live = true,
-                             .daemon = daemon,
-                             .life = world->hosts[daemon].life,
-                             .act = act,
-                             .lost = dice == 1 || dice == 2};
-        flight->effect_at = world->now + 1 + late;
-        flight->answer_at =
-            world->now + 2 + (int64_t)rng_below(&world->rng, 5);
-        world->hosts[daemon].asking = true;
+        uint64_t draw = rng_below(&sim->rng, 20);
+        int64_t delay_ms = draw == 0 ? 300 : 0;
+        *exchange = (exchange_t){.live = true,
+                                 .daemon = daemon,
+                                 .incarnation = sim->hosts[daemon].incarnation,
+                                 .action = action,
+                                 .lost = draw == 1 || draw == 2};
+        exchange->effect_ms = sim->now_ms + 1 + delay_ms;
+        exchange->answer_ms =
+            sim->now_ms + 2 + (int64_t)rng_below(&sim->rng, 5);
+        sim->hosts[daemon].awaiting_reply = true;
         return;
     }
     ck_abort_msg("too many exchanges");
 }
 
 static void
-restart(world_t *world, int daemon)
+restart(sim_t *sim, int daemon)
 {
-    host_t *host = &world->hosts[daemon];
+    sim_host_t *host = &sim->hosts[daemon];
     claim_shard_free(host->shard);
     host->shard = claim_shard_new(0);
-    host->life++;
-    host->asking = false;
+    host->incarnation++;
+    host->awaiting_reply = false;
 }
 
 static void
-ask_one(world_t *world)
+submit_claim(sim_t *sim)
 {
     char key[CLAIM_KEY_LEN + 1];
     char token[CS_ID_LEN + 1];
-    int number = (int)rng_below(&world->rng, KEYS);
-    int daemon = (int)rng_below(&world->rng, DAEMONS);
-    if (world->asked[number] == ATTEMPTS) {
+    int number = (int)rng_below(&sim->rng, KEYS);
+    int daemon = (int)rng_below(&sim->rng, DAEMONS);
+    if (sim->attempt_counts[number] == ATTEMPTS) {
         return;
     }
-    world->asked[number]++;
+    sim->attempt_counts[number]++;
     (void)snprintf(key, sizeof(key), "key-%d", number);
     (void)snprintf(token, sizeof(token), "%016llx",
-                   (unsigned long long)rng_next(&world->rng));
-    if (json_object_get(world->answers, key) == NULL) {
-        (void)json_object_set_new(world->answers, key, json_array());
+                   (unsigned long long)rng_next(&sim->rng));
+    if (json_object_get(sim->answers, key) == NULL) {
+        (void)json_object_set_new(sim->answers, key, json_array());
     }
     claim_op_t *op = claim_op_new(CLAIM_OP_CLAIM, key, token);
-    op->deadline_ms = world->now + 20 + (int64_t)rng_below(&world->rng, 80);
-    claim_shard_submit(world->hosts[daemon].shard, op);
+    op->deadline_ms = sim->now_ms + 20 + (int64_t)rng_below(&sim->rng, 80);
+    claim_shard_submit(sim->hosts[daemon].shard, op);
 }
 
 static void
-step(world_t *world)
+step(sim_t *sim)
 {
-    world->now++;
-    if (rng_below(&world->rng, 40) == 0) {
-        ask_one(world);
+    sim->now_ms++;
+    if (rng_below(&sim->rng, 40) == 0) {
+        submit_claim(sim);
     }
-    if (rng_below(&world->rng, 600) == 0) {
-        restart(world, (int)rng_below(&world->rng, DAEMONS));
+    if (rng_below(&sim->rng, 600) == 0) {
+        restart(sim, (int)rng_below(&sim->rng, DAEMONS));
     }
-    if (rng_below(&world->rng, 400) == 0) {
-        int daemon = (int)rng_below(&world->rng, DAEMONS);
-        world->hosts[daemon].frozen_until =
-            world->now + (int64_t)rng_below(&world->rng, 500);
+    if (rng_below(&sim->rng, 400) == 0) {
+        int daemon = (int)rng_below(&sim->rng, DAEMONS);
+        sim->hosts[daemon].frozen_until_ms =
+            sim->now_ms + (int64_t)rng_below(&sim->rng, 500);
     }
-    if (rng_below(&world->rng, 800) == 0) {
-        world->down_until = world->now + (int64_t)rng_below(&world->rng, 200);
+    if (rng_below(&sim->rng, 800) == 0) {
+        sim->down_until_ms = sim->now_ms + (int64_t)rng_below(&sim->rng, 200);
     }
-    fly(world);
+    advance_exchanges(sim);
     for (int i = 0; i < DAEMONS; i++) {
-        host_t *host = &world->hosts[i];
-        if (world->now < host->frozen_until || host->asking) {
+        sim_host_t *host = &sim->hosts[i];
+        if (sim->now_ms < host->frozen_until_ms || host->awaiting_reply) {
             continue;
         }
-        claim_action_t act =
-            claim_shard_next_action(host->shard, world->now, world->now);
-        take_ended(world, i);
-        if (act.kind != CLAIM_ACTION_NONE) {
-            launch(world, i, act);
+        claim_action_t action =
+            claim_shard_next_action(host->shard, sim->now_ms, sim->now_ms);
+        handle_completed(sim, i);
+        if (action.kind != CLAIM_ACTION_NONE) {
+            start_exchange(sim, i, action);
         }
     }
 }
 
-/* One run; the number of rules that its history breaks. */
+/* Runs one seed; returns the number of rules that its history violates. */
 static size_t
 run_seed(uint64_t seed, bool conditional, buf_t *problems)
 {
-    world_t *world = mem_zalloc(sizeof(*world));
-    world->rng.state = seed;
-    world->conditional = conditional;
-    world->objects = json_object();
-    world->answers = json_object();
-    world->effects = json_object();
+    sim_t *sim = mem_zalloc(sizeof(*sim));
+    sim->rng.state = seed;
+    sim->conditional = conditional;
+    sim->objects = json_object();
+    sim->answers = json_object();
+    sim->run_counts = json_object();
     for (int i = 0; i < DAEMONS; i++) {
-        world->hosts[i].shard = claim_shard_new(0);
+        sim->hosts[i].shard = claim_shard_new(0);
     }
     for (int i = 0; i < STEPS; i++) {
-        step(world);
+        step(sim);
     }
-    size_t broken =
-        history_check_keys(world->answers, world->effects, problems);
+    size_t violations =
+        history_check_keys(sim->answers, sim->run_counts, problems);
     for (int i = 0; i < DAEMONS; i++) {
-        claim_shard_free(world->hosts[i].shard);
+        claim_shard_free(sim->hosts[i].shard);
     }
-    for (int i = 0; i < FLIGHT_MAX; i++) {
-        json_decref(world->flights[i].value);
-        json_decref(world->flights[i].act.value);
+    for (int i = 0; i < EXCHANGES_MAX; i++) {
+        json_decref(sim->exchanges[i].value);
+        json_decref(sim->exchanges[i].action.value);
     }
-    json_decref(world->objects);
-    json_decref(world->answers);
-    json_decref(world->effects);
-    free(world);
-    return broken;
+    json_decref(sim->objects);
+    json_decref(sim->answers);
+    json_decref(sim->run_counts);
+    free(sim);
+    return violations;
 }
 
 static uint64_t
-first_seed(void)
+seed_from_env(void)
 {
     const char *text = getenv("SEED");
     return text == NULL ? 1 : strtoull(text, NULL, 10);
 }
 
-/* A reader is struck twice for one comment.  Two hosts claim the same key,
- * answers of the store get lost, a claim's write arrives late, a host is
- * frozen or dies between claim, send and outcome.  The conditional update of
- * the head must let one token through and no other. */
-START_TEST(no_history_has_a_second_effect)
+/* Guards against a call that runs twice for one key.  Hosts claim the same
+ * key while replies of the store are lost, a claim's write is delayed, and
+ * hosts freeze or die between claim, send and outcome.  The conditional update
+ * of the head must let only one token win. */
+START_TEST(a_key_never_runs_twice)
 {
-    uint64_t from = first_seed();
+    uint64_t from = seed_from_env();
     uint64_t to = getenv("SEED") == NULL ? from + RUNS : from + 1;
     for (uint64_t seed = from; seed < to; seed++) {
         CLEAN_BUF buf_t problems = {0};
-        size_t broken = run_seed(seed, true, &problems);
-        ck_assert_msg(broken == 0, "SEED=%llu build/tests/test-claim: %s",
+        size_t violations = run_seed(seed, true, &problems);
+        ck_assert_msg(violations == 0, "SEED=%llu build/tests/test-claim: %s",
                       (unsigned long long)seed, buf_text(&problems));
     }
 }
 END_TEST
 
-/* The same without the guard: a store that ignores versions must show
- * second effects, or the runs would prove nothing. */
-START_TEST(without_conditional_updates_the_checker_finds_second_effects)
+/* The same with a store that ignores expected versions: the checker must find
+ * second runs, or the test above would prove nothing. */
+START_TEST(without_conditional_updates_the_checker_finds_second_runs)
 {
-    size_t broken = 0;
+    size_t violations = 0;
     for (uint64_t seed = 1; seed < 200; seed++) {
         CLEAN_BUF buf_t problems = {0};
-        broken += run_seed(seed, false, &problems) > 0;
+        violations += run_seed(seed, false, &problems) > 0;
     }
-    ck_assert_uint_gt(broken, 20);
+    ck_assert_uint_gt(violations, 20);
 }
 END_TEST
 
-/* Serve a shard from a store without faults until it wants nothing. */
+/* Serves a shard from a store without faults until it has no more actions. */
 static void
-settle(claim_shard_t *shard, world_t *world)
+run_until_idle(claim_shard_t *shard, sim_t *sim)
 {
     for (int i = 0; i < 2000; i++) {
-        world->now += 60;
-        claim_action_t act =
-            claim_shard_next_action(shard, world->now, world->now);
-        if (act.kind == CLAIM_ACTION_NONE) {
+        sim->now_ms += 60;
+        claim_action_t action =
+            claim_shard_next_action(shard, sim->now_ms, sim->now_ms);
+        if (action.kind == CLAIM_ACTION_NONE) {
             return;
         }
-        flight_t flight = {.act = act};
-        store_apply(world, &flight);
-        flight.reply.value = flight.value;
-        claim_shard_apply_reply(shard, &flight.reply, world->now);
-        json_decref(flight.value);
-        json_decref(act.value);
+        exchange_t exchange = {.action = action};
+        store_apply(sim, &exchange);
+        exchange.reply.value = exchange.value;
+        claim_shard_apply_reply(shard, &exchange.reply, sim->now_ms);
+        json_decref(exchange.value);
+        json_decref(action.value);
     }
     ck_abort_msg("the shard does not settle");
 }
 
 static claim_state_t
-claim_now(claim_shard_t *shard, world_t *world, const char *key,
-          const char *token)
+claim_and_settle(claim_shard_t *shard, sim_t *sim, const char *key,
+                 const char *token)
 {
     claim_op_t *op = claim_op_new(CLAIM_OP_CLAIM, key, token);
-    op->deadline_ms = world->now + 1000000;
+    op->deadline_ms = sim->now_ms + 1000000;
     claim_shard_submit(shard, op);
-    settle(shard, world);
+    run_until_idle(shard, sim);
     claim_op_t *ended = claim_shard_take_completed(shard);
     ck_assert_ptr_eq(ended, op);
     claim_state_t state = ended->state;
@@ -379,41 +380,44 @@
     return state;
 }
 
-/* A sale is made again the day after.  The log's head is full, is sealed and
- * rolled, and the host that is asked next has never read the old chunk.  It
- * must read every chunk that the head names before it decides. */
-START_TEST(claims_in_sealed_chunks_are_still_seen)
+/* Guards against a second run of a key whose claim is in a sealed chunk.  A
+ * host that starts later has not read the chunks yet: it must read every chunk
+ * that the head names before it decides. */
+START_TEST(claims_in_sealed_chunks_are_found)
 {
-    world_t world = {.conditional = true, .objects = json_object()};
+    sim_t sim = {.conditional = true, .objects = json_object()};
     claim_shard_t *shard = claim_shard_new(0);
     for (int i = 0; i < CLAIM_CHUNK_ENTRIES * 2 + 10; i++) {
         char key[32];
         (void)snprintf(key, sizeof(key), "k%d", i);
-        ck_assert_int_eq(claim_now(shard, &world, key, "mine"), CLAIM_WON);
+        ck_assert_int_eq(claim_and_settle(shard, &sim, key, "mine"),
+                         CLAIM_WON);
     }
     claim_shard_t *fresh = claim_shard_new(0);
-    ck_assert_int_eq(claim_now(fresh, &world, "k3", "other"), CLAIM_TAKEN);
-    ck_assert_int_eq(claim_now(fresh, &world, "k300", "other"), CLAIM_TAKEN);
-    ck_assert_int_eq(claim_now(fresh, &world, "new", "other"), CLAIM_WON);
-    ck_assert_uint_ge(json_object_size(world.objects), 3);
+    ck_assert_int_eq(claim_and_settle(fresh, &sim, "k3", "other"),
+                     CLAIM_TAKEN);
+    ck_assert_int_eq(claim_and_settle(fresh, &sim, "k300", "other"),
+                     CLAIM_TAKEN);
+    ck_assert_int_eq(claim_and_settle(fresh, &sim, "new", "other"), CLAIM_WON);
+    ck_assert_uint_ge(json_object_size(sim.objects), 3);
     claim_shard_free(shard);
     claim_shard_free(fresh);
-    json_decref(world.objects);
+    json_decref(sim.objects);
 }
 END_TEST
 
-/* Callers wait while the store is down.  The head cannot be read, so no
- * claim can be won.  Each is refused at the first answer, not at its
- * deadline. */
-START_TEST(a_store_that_is_down_refuses_at_once)
+/* Guards against callers that wait for their whole deadline while the store is
+ * down.  The head cannot be read, so no claim can be won; each must fail at
+ * the first rejected read. */
+START_TEST(claims_fail_at_once_while_the_store_is_down)
 {
     claim_shard_t *shard = claim_shard_new(0);
     claim_op_t *op = claim_op_new(CLAIM_OP_CLAIM, "k", "t");
     store_reply_t refused = {.result = STORE_REFUSED};
     op->deadline_ms = 100000;
     claim_shard_submit(shard, op);
-    claim_action_t act = claim_shard_next_action(shard, 10, 10);
-    ck_assert_int_eq(act.kind, CLAIM_ACTION_GET);
+    claim_action_t action = claim_shard_next_action(shard, 10, 10);
+    ck_assert_int_eq(action.kind, CLAIM_ACTION_GET);
     claim_shard_apply_reply(shard, &refused, 12);
     claim_op_t *ended = claim_shard_take_completed(shard);
     ck_assert_ptr_eq(ended, op);
@@ -423,7 +427,7 @@
 }
 END_TEST
 
-TEST_MAIN("claim", no_history_has_a_second_effect,
-          without_conditional_updates_the_checker_finds_second_effects,
-          claims_in_sealed_chunks_are_still_seen,
-          a_store_that_is_down_refuses_at_once)
+TEST_MAIN("claim", a_key_never_runs_twice,
+          without_conditional_updates_the_checker_finds_second_runs,
+          claims_in_sealed_chunks_are_found,
+          claims_fail_at_once_while_the_store_is_down)
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Many members in one process, in virtual time, over a network that loses
- * datagrams. */
+ * some of the datagrams. */
 
 #define FLEET_MAX 350
 #define LOSS_PERCENT 5
@@ -12,9 +12,9 @@
 typedef struct {
     size_t count;
     rng_t rng;
-    int64_t now;
+    int64_t now_ms;
     members_t *tables[FLEET_MAX];
-    bool dead[FLEET_MAX];
+    bool stopped[FLEET_MAX];
     uint64_t datagrams;
     uint64_t bytes;
 } fleet_t;
@@ -51,9 +51,9 @@
     }
 }
 
-/* Carry messages, and the answers that they bring about, over the network. */
+/* Delivers messages, and the answers that they cause, over the network. */
 static void
-carry(fleet_t *fleet, const member_out_t *out, int depth)
+deliver(fleet_t *fleet, const member_out_t *out, int depth)
 {
     static peer_datagram_t datagram;
     unsigned char data[PEER_DATAGRAM_MAX];
@@ -65,34 +65,35 @@
         ck_assert_uint_gt(len, 0);
         fleet->datagrams++;
         fleet->bytes += len;
-        if (to >= fleet->count || fleet->dead[to] ||
+        if (to >= fleet->count || fleet->stopped[to] ||
             rng_below(&fleet->rng, 100) < LOSS_PERCENT || depth > 6) {
             continue;
         }
         member_out_t *answer = mem_zalloc(sizeof(*answer));
-        members_receive(fleet->tables[to], &out->messages[i], fleet->now,
+        members_receive(fleet->tables[to], &out->messages[i], fleet->now_ms,
                         answer);
-        carry(fleet, answer, depth + 1);
+        deliver(fleet, answer, depth + 1);
         free(answer);
     }
 }
 
 static void
-beat(fleet_t *fleet, size_t i, int64_t generation)
+tick_member(fleet_t *fleet, size_t i, int64_t generation)
 {
     member_out_t *out = mem_zalloc(sizeof(*out));
-    members_tick(fleet->tables[i], fleet->now, generation, MEMBER_LIVE, out);
-    carry(fleet, out, 0);
+    members_tick(fleet->tables[i], fleet->now_ms, generation, MEMBER_LIVE,
+                 out);
+    deliver(fleet, out, 0);
     free(out);
 }
 
 static void
-round_of(fleet_t *fleet)
+run_tick(fleet_t *fleet)
 {
-    fleet->now += members_interval_ms();
+    fleet->now_ms += members_interval_ms();
     for (size_t i = 0; i < fleet->count; i++) {
-        if (!fleet->dead[i]) {
-            beat(fleet, i, 1);
+        if (!fleet->stopped[i]) {
+            tick_member(fleet, i, 1);
         }
     }
 }
@@ -109,12 +110,12 @@
     return found;
 }
 
-/* Rounds until the first table knows everybody. */
+/* Ticks until the first table has all members. */
 static int
-rounds_to_know_all(fleet_t *fleet)
+ticks_to_discover_all(fleet_t *fleet)
 {
     for (int i = 1; i < 400; i++) {
-        round_of(fleet);
+        run_tick(fleet);
         if (count_health(fleet->tables[0], MEMBER_ALIVE) == fleet->count) {
             return i;
         }
@@ -122,99 +123,100 @@
     return -1;
 }
 
-/* Rounds until every table takes one that stopped for dead. */
+/* Stops a member; returns the ticks until every other table has it as dead. */
 static int
-rounds_to_notice(fleet_t *fleet, size_t stopped)
+ticks_to_detect(fleet_t *fleet, size_t target)
 {
-    fleet->dead[stopped] = true;
+    fleet->stopped[target] = true;
     for (int i = 1; i < 400; i++) {
-        size_t know = 0;
-        round_of(fleet);
+        size_t detecting = 0;
+        run_tick(fleet);
         for (size_t j = 0; j < fleet->count; j++) {
-            know += !fleet->dead[j] &&
-                    count_health(fleet->tables[j], MEMBER_DEAD) > 0;
+            detecting += !fleet->stopped[j] &&
+                         count_health(fleet->tables[j], MEMBER_DEAD) > 0;
         }
-        if (know == fleet->count - 1) {
+        if (detecting == fleet->count - 1) {
             return i;
         }
     }
     return -1;
 }
 
-/* An operator sees live daemons listed as dead, or a dead one as alive for
- * minutes.  Datagrams are lost and news takes rounds to get about.  Over
- * two virtual minutes no live daemon may be taken for dead, and a stopped
- * one must be noticed by all. */
+/* Guards against live daemons listed as dead, and dead ones listed as alive
+ * for minutes, although datagrams are lost and gossip takes several rounds.
+ * Over 120 ticks no live daemon may be declared dead, and after that a stopped
+ * one must be detected by all within 20 s. */
 static void
-prove_fleet(size_t count)
+check_fleet(size_t count)
 {
     static fleet_t fleet;
     fleet_start(&fleet, count);
-    int known = rounds_to_know_all(&fleet);
-    ck_assert_int_gt(known, 0);
-    /* Let all tables hear of everybody before false deaths are counted. */
+    int discovered = ticks_to_discover_all(&fleet);
+    ck_assert_int_gt(discovered, 0);
+    /* Lets all tables discover all members before counting. */
     for (int i = 0; i < 60; i++) {
-        round_of(&fleet);
+        run_tick(&fleet);
     }
     fleet.datagrams = 0;
     fleet.bytes = 0;
-    size_t false_deaths = 0;
+    size_t false_positives = 0;
     size_t suspicions = 0;
-    const int rounds = 120;
-    for (int i = 0; i < rounds; i++) {
-        round_of(&fleet);
+    const int ticks = 120;
+    for (int i = 0; i < ticks; i++) {
+        run_tick(&fleet);
         for (size_t j = 0; j < count; j++) {
-            false_deaths += count_health(fleet.tables[j], MEMBER_DEAD);
+            false_positives += count_health(fleet.tables[j], MEMBER_DEAD);
             suspicions += count_health(fleet.tables[j], MEMBER_SUSPECT);
         }
     }
-    double seconds = rounds * members_interval_ms() / 1000.0;
+    double seconds = ticks * members_interval_ms() / 1000.0;
     double bytes = (double)fleet.bytes / (double)count / seconds;
-    int noticed = rounds_to_notice(&fleet, count / 2);
+    int detected = ticks_to_detect(&fleet, count / 2);
     (void)printf(
-        "members: %zu daemons: known in %d rounds, dead noticed by "
-        "all in %.1f s, %zu false deaths, %zu suspicions, %.0f B/s "
+        "members: %zu daemons: discovered in %d ticks, dead detected by "
+        "all in %.1f s, %zu false positives, %zu suspicions, %.0f B/s "
         "and %.1f datagrams/s sent by each\n",
-        count, known, noticed * members_interval_ms() / 1000.0, false_deaths,
-        suspicions, bytes, (double)fleet.datagrams / (double)count / seconds);
-    ck_assert_uint_eq(false_deaths, 0);
-    ck_assert_int_gt(noticed, 0);
-    ck_assert(noticed * members_interval_ms() < 20000);
+        count, discovered, detected * members_interval_ms() / 1000.0,
+        false_positives, suspicions, bytes,
+        (double)fleet.datagrams / (double)count / seconds);
+    ck_assert_uint_eq(false_positives, 0);
+    ck_assert_int_gt(detected, 0);
+    ck_assert(detected * members_interval_ms() < 20000);
     ck_assert(bytes < 8192);
     fleet_stop(&fleet);
 }
 
 START_TEST(four_daemons)
 {
-    prove_fleet(4);
+    check_fleet(4);
 }
 END_TEST
 
 START_TEST(sixteen_daemons)
 {
-    prove_fleet(16);
+    check_fleet(16);
 }
 END_TEST
 
 START_TEST(sixty_four_daemons)
 {
-    prove_fleet(64);
+    check_fleet(64);
 }
 END_TEST
 
 START_TEST(three_hundred_and_fifty_daemons)
 {
-    prove_fleet(350);
+    check_fleet(350);
 }
 END_TEST
 
-START_TEST(a_duty_falls_to_one_live_member_and_moves_when_it_dies)
+START_TEST(a_duty_has_one_live_owner_and_moves_when_it_dies)
 {
     static fleet_t fleet;
     fleet_start(&fleet, 4);
-    (void)rounds_to_know_all(&fleet);
+    (void)ticks_to_discover_all(&fleet);
     for (int i = 0; i < 10; i++) {
-        round_of(&fleet);
+        run_tick(&fleet);
     }
     for (int d = 0; d < 40; d++) {
         char duty[32];
@@ -225,7 +227,7 @@
         }
         ck_assert_int_eq(holders, 1);
     }
-    (void)rounds_to_notice(&fleet, 2);
+    (void)ticks_to_detect(&fleet, 2);
     int holders = 0;
     for (size_t i = 0; i < 4; i++) {
         holders += i != 2 && members_duty(fleet.tables[i], "feed/engine-1");
@@ -235,13 +237,14 @@
 }
 END_TEST
 
-/* Guards against a herd that knows of each other only after many seconds, and
- * meanwhile does not share the load that each sends. */
-START_TEST(a_herd_that_starts_at_once_knows_itself_soon)
+/* Guards against daemons that start together and discover each other only
+ * after many seconds: until then they do not share the load that each sends.
+ */
+START_TEST(members_that_start_at_once_discover_each_other_soon)
 {
     static fleet_t fleet;
     const size_t count = 350;
-    const int rounds = 10;
+    const int ticks = 10;
     fleet_start(&fleet, count);
     for (size_t i = 0; i < count; i++) {
         for (size_t j = 0; j < count; j++) {
@@ -250,37 +253,37 @@
             members_seed(fleet.tables[i], seed);
         }
     }
-    for (int i = 0; i < rounds; i++) {
-        round_of(&fleet);
+    for (int i = 0; i < ticks; i++) {
+        run_tick(&fleet);
     }
-    size_t least = count;
+    size_t fewest_known = count;
     for (size_t i = 0; i < count; i++) {
-        size_t known = count_health(fleet.tables[i], MEMBER_ALIVE);
-        least = known < least ? known : least;
+        size_t discovered = count_health(fleet.tables[i], MEMBER_ALIVE);
+        fewest_known = discovered < fewest_known ? discovered : fewest_known;
     }
     double bytes = (double)fleet.bytes / (double)count;
     (void)printf(
-        "members: a herd of %zu: all know %zu in %d rounds, %.0f "
+        "members: %zu start at once: all know at least %zu in %d ticks, %.0f "
         "bytes sent by each\n",
-        count, least, rounds, bytes);
-    ck_assert_uint_gt(least, count * 9 / 10);
+        count, fewest_known, ticks, bytes);
+    ck_assert_uint_gt(fewest_known, count * 9 / 10);
     ck_assert(bytes < 4e6);
     fleet_stop(&fleet);
 }
 END_TEST
 
-/* Guards against many daemons of a large fleet that all take themselves for
- * the first in line: their writes to a free lease would all but one be in
- * vain. */
-START_TEST(all_members_agree_on_the_order_for_a_duty)
+/* Guards against several daemons of a large fleet with the same rank: when a
+ * lease is free they would all write to it at once, and all but one of the
+ * writes would fail. */
+START_TEST(all_members_agree_on_the_ranks_for_a_duty)
 {
     static fleet_t fleet;
     const size_t count = 100;
     bool taken[100] = {false};
     fleet_start(&fleet, count);
-    (void)rounds_to_know_all(&fleet);
+    (void)ticks_to_discover_all(&fleet);
     for (int i = 0; i < 60; i++) {
-        round_of(&fleet);
+        run_tick(&fleet);
     }
     for (size_t i = 0; i < count; i++) {
         size_t rank = members_duty_rank(fleet.tables[i], "orders");
@@ -292,9 +295,9 @@
 }
 END_TEST
 
-/* Random bytes, and good datagrams with changed ones, must be refused whole
- * and never read past their end. */
-START_TEST(forged_and_damaged_datagrams_are_refused)
+/* Datagrams with a changed byte, truncated ones and those of another key must
+ * be rejected whole and never read past their end. */
+START_TEST(forged_and_damaged_datagrams_are_rejected)
 {
     static peer_datagram_t datagram;
     static peer_datagram_t out;
@@ -322,7 +325,7 @@
 }
 END_TEST
 
-START_TEST(announcements_of_quotas_arrive_as_sent)
+START_TEST(usages_are_decoded_as_encoded)
 {
     static peer_datagram_t datagram;
     static peer_datagram_t out;
@@ -346,7 +349,7 @@
 }
 END_TEST
 
-START_TEST(announcements_of_loads_arrive_as_sent)
+START_TEST(loads_are_decoded_as_encoded)
 {
     static peer_datagram_t datagram;
     static peer_datagram_t out;
@@ -362,7 +365,7 @@
     ck_assert_int_eq(peer_decode(&out, secret, data, len), 0);
     ck_assert_uint_eq(out.load_count, PEER_LOADS_MAX);
     ck_assert_int_eq(memcmp(out.loads, datagram.loads, sizeof(out.loads)), 0);
-    /* Damaged ones are never read past their end. */
+    /* Truncated ones are never read past their end. */
     rng_t rng = {7};
     for (int i = 0; i < 2000; i++) {
         (void)peer_decode(&out, secret, data, rng_below(&rng, len));
@@ -372,9 +375,8 @@
 
 TEST_MAIN("members", four_daemons, sixteen_daemons, sixty_four_daemons,
           three_hundred_and_fifty_daemons,
-          a_duty_falls_to_one_live_member_and_moves_when_it_dies,
-          a_herd_that_starts_at_once_knows_itself_soon,
-          all_members_agree_on_the_order_for_a_duty,
-          announcements_of_quotas_arrive_as_sent,
-          announcements_of_loads_arrive_as_sent,
-          forged_and_damaged_datagrams_are_refused)
+          a_duty_has_one_live_owner_and_moves_when_it_dies,
+          members_that_start_at_once_discover_each_other_soon,
+          all_members_agree_on_the_ranks_for_a_duty,
+          usages_are_decoded_as_encoded, loads_are_decoded_as_encoded,
+          forged_and_damaged_datagrams_are_rejected)
