--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -183,21 +183,22 @@
 static bool
 parse_member(const msgpack_object *object, member_t *member)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     int intent;
     int health;
     uint64_t generation;
     memset(member, 0, sizeof(*member));
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         object->via.array.size != MEMBER_FIELDS ||
-        !parse_text(&at[0], member->name, sizeof(member->name)) ||
-        !parse_text(&at[1], member->dc, sizeof(member->dc)) ||
-        !parse_text(&at[2], member->peer, sizeof(member->peer)) ||
-        !parse_text(&at[3], member->http, sizeof(member->http)) ||
-        !parse_unsigned(&at[4], &member->incarnation) ||
-        !parse_unsigned(&at[5], &member->version) ||
-        !parse_int(&at[6], &intent) || !parse_unsigned(&at[7], &generation) ||
-        !parse_int(&at[8], &health) || health < MEMBER_ALIVE ||
+        !parse_text(&fields[0], member->name, sizeof(member->name)) ||
+        !parse_text(&fields[1], member->dc, sizeof(member->dc)) ||
+        !parse_text(&fields[2], member->peer, sizeof(member->peer)) ||
+        !parse_text(&fields[3], member->http, sizeof(member->http)) ||
+        !parse_unsigned(&fields[4], &member->incarnation) ||
+        !parse_unsigned(&fields[5], &member->version) ||
+        !parse_int(&fields[6], &intent) ||
+        !parse_unsigned(&fields[7], &generation) ||
+        !parse_int(&fields[8], &health) || health < MEMBER_ALIVE ||
         health > MEMBER_DEAD) {
         return false;
     }
@@ -210,96 +211,99 @@
 static bool
 parse_fact(const msgpack_object *object, peer_fact_t *fact)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     memset(fact, 0, sizeof(*fact));
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         (object->via.array.size != LOAD_FIELDS &&
          object->via.array.size != CACHE_FIELDS) ||
-        !parse_text(&at[0], fact->backend, sizeof(fact->backend))) {
+        !parse_text(&fields[0], fact->backend, sizeof(fact->backend))) {
         return false;
     }
     fact->is_load = object->via.array.size == LOAD_FIELDS;
     if (!fact->is_load) {
-        uint64_t tokens;
-        uint64_t part;
+        uint64_t prefix_tokens;
+        uint64_t part_tokens;
         int held;
-        bool good = parse_unsigned(&at[1], &fact->key) &&
-                    parse_unsigned(&at[2], &tokens) &&
-                    parse_unsigned(&at[3], &part) && parse_int(&at[4], &held);
-        fact->prefix_tokens = good ? (uint32_t)tokens : 0;
-        fact->part_tokens = good ? (uint32_t)part : 0;
-        fact->held = good && held != 0;
-        return good;
+        bool valid = parse_unsigned(&fields[1], &fact->key) &&
+                     parse_unsigned(&fields[2], &prefix_tokens) &&
+                     parse_unsigned(&fields[3], &part_tokens) &&
+                     parse_int(&fields[4], &held);
+        fact->prefix_tokens = valid ? (uint32_t)prefix_tokens : 0;
+        fact->part_tokens = valid ? (uint32_t)part_tokens : 0;
+        fact->held = valid && held != 0;
+        return valid;
     }
     load_report_t *load = &fact->load;
-    uint64_t filled;
-    if (!parse_unsigned(&at[8], &filled)) {
+    uint64_t unshared_tokens;
+    if (!parse_unsigned(&fields[8], &unshared_tokens)) {
         return false;
     }
-    load->filled = (uint32_t)filled;
-    return parse_text(&at[1], load->incarnation, sizeof(load->incarnation)) &&
-           parse_text(&at[2], load->version, sizeof(load->version)) &&
-           parse_text(&at[3], load->loading, sizeof(load->loading)) &&
-           parse_int(&at[4], &load->running) &&
-           parse_int(&at[5], &load->slots) &&
-           parse_int(&at[6], &load->waiting_tokens) &&
-           parse_int(&at[7], &load->prefill_rate) &&
-           parse_int(&at[9], &load->at_server);
+    load->filled = (uint32_t)unshared_tokens;
+    return parse_text(&fields[1], load->incarnation,
+                      sizeof(load->incarnation)) &&
+           parse_text(&fields[2], load->version, sizeof(load->version)) &&
+           parse_text(&fields[3], load->loading, sizeof(load->loading)) &&
+           parse_int(&fields[4], &load->running) &&
+           parse_int(&fields[5], &load->slots) &&
+           parse_int(&fields[6], &load->waiting_tokens) &&
+           parse_int(&fields[7], &load->prefill_rate) &&
+           parse_int(&fields[9], &load->at_server);
 }
 
 static bool
 parse_count(const msgpack_object *object, uint32_t *out)
 {
     uint64_t value;
-    bool good = parse_unsigned(object, &value) && value <= UINT32_MAX;
-    *out = good ? (uint32_t)value : 0;
-    return good;
+    bool valid = parse_unsigned(object, &value) && value <= UINT32_MAX;
+    *out = valid ? (uint32_t)value : 0;
+    return valid;
 }
 
 static bool
 parse_usage(const msgpack_object *object, peer_usage_t *usage)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == USAGE_FIELDS &&
-           parse_unsigned(&at[0], &usage->workspace_hash) &&
-           parse_count(&at[1], &usage->total_spent) &&
-           parse_count(&at[2], &usage->recent_spent);
+           parse_unsigned(&fields[0], &usage->workspace_hash) &&
+           parse_count(&fields[1], &usage->total_spent) &&
+           parse_count(&fields[2], &usage->recent_spent);
 }
 
 static bool
 parse_server_load(const msgpack_object *object, peer_load_t *load)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == SERVER_LOAD_FIELDS &&
-           parse_count(&at[0], &load->server_hash) &&
-           parse_count(&at[1], &load->prefill_tokens) &&
-           parse_count(&at[2], &load->running) &&
-           parse_count(&at[3], &load->unshared_tokens) &&
-           parse_count(&at[4], &load->sent_tokens);
+           parse_count(&fields[0], &load->server_hash) &&
+           parse_count(&fields[1], &load->prefill_tokens) &&
+           parse_count(&fields[2], &load->running) &&
+           parse_count(&fields[3], &load->unshared_tokens) &&
+           parse_count(&fields[4], &load->sent_tokens);
 }
 
 /* Decodes one entry of a datagram's list. */
 static bool
-parse_entry(peer_datagram_t *datagram, const msgpack_object *at, size_t i)
+parse_entry(peer_datagram_t *datagram, const msgpack_object *entry, size_t i)
 {
     switch (datagram->kind) {
         case PEER_MEMBERS:
             datagram->members.count = i + 1;
             return i < MEMBER_RECORDS_MAX &&
-                   parse_member(at, &datagram->members.records[i]);
+                   parse_member(entry, &datagram->members.records[i]);
         case PEER_FACTS:
             datagram->fact_count = i + 1;
-            return i < PEER_FACTS_MAX && parse_fact(at, &datagram->facts[i]);
+            return i < PEER_FACTS_MAX &&
+                   parse_fact(entry, &datagram->facts[i]);
         case PEER_USAGES:
             datagram->usage_count = i + 1;
             return i < PEER_USAGES_MAX &&
-                   parse_usage(at, &datagram->usages[i]);
+                   parse_usage(entry, &datagram->usages[i]);
         case PEER_LOADS:
             datagram->load_count = i + 1;
             return i < PEER_LOADS_MAX &&
-                   parse_server_load(at, &datagram->loads[i]);
+                   parse_server_load(entry, &datagram->loads[i]);
     }
     return false;
 }
@@ -337,39 +341,42 @@
 }
 
 static bool
-parse_member_head(peer_datagram_t *datagram, const msgpack_object *at)
+parse_member_head(peer_datagram_t *datagram, const msgpack_object *fields)
 {
     int kind;
     member_message_t *message = &datagram->members;
-    bool good = parse_int(&at[2], &kind) && kind >= MEMBER_PING &&
-                kind <= MEMBER_SYNC &&
-                parse_unsigned(&at[3], &message->sequence) &&
-                parse_text(&at[4], message->target, sizeof(message->target));
-    message->kind = good ? (member_message_kind_t)kind : MEMBER_SYNC;
-    return good;
+    bool valid =
+        parse_int(&fields[2], &kind) && kind >= MEMBER_PING &&
+        kind <= MEMBER_SYNC &&
+        parse_unsigned(&fields[3], &message->sequence) &&
+        parse_text(&fields[4], message->target, sizeof(message->target));
+    message->kind = valid ? (member_message_kind_t)kind : MEMBER_SYNC;
+    return valid;
 }
 
 static int
 parse_datagram(peer_datagram_t *datagram, const msgpack_object *root)
 {
     int kind;
-    const msgpack_object *at = root->via.array.ptr;
+    const msgpack_object *fields = root->via.array.ptr;
     if (root->type != MSGPACK_OBJECT_ARRAY || root->via.array.size < 2 ||
-        !parse_int(&at[0], &kind) || at[1].type != MSGPACK_OBJECT_ARRAY) {
+        !parse_int(&fields[0], &kind) ||
+        fields[1].type != MSGPACK_OBJECT_ARRAY) {
         return -1;
     }
     datagram->kind = (peer_kind_t)kind;
     clear_list(datagram);
     uint32_t size = root->via.array.size;
     bool members = kind == PEER_MEMBERS && size == MEMBERS_FIELDS &&
-                   parse_member_head(datagram, at);
+                   parse_member_head(datagram, fields);
     bool facts = kind == PEER_FACTS && size == FACTS_FIELDS;
     bool usages = kind == PEER_USAGES && size == USAGES_FIELDS &&
-                  parse_unsigned(&at[2], &datagram->incarnation) &&
-                  parse_unsigned(&at[3], &datagram->sequence);
+                  parse_unsigned(&fields[2], &datagram->incarnation) &&
+                  parse_unsigned(&fields[3], &datagram->sequence);
     bool loads = kind == PEER_LOADS && size == LOADS_FIELDS;
-    return members || facts || usages || loads ? parse_list(datagram, &at[1])
-                                               : -1;
+    return members || facts || usages || loads
+               ? parse_list(datagram, &fields[1])
+               : -1;
 }
 
 /* Decodes a datagram; -1 if its authentication code is wrong or it is
@@ -378,14 +385,15 @@
 peer_decode(peer_datagram_t *datagram, const unsigned char *secret,
             const unsigned char *data, size_t len)
 {
-    unsigned char want[PEER_MAC_BYTES];
+    unsigned char expected_mac[PEER_MAC_BYTES];
     msgpack_unpacked result;
     if (len <= PEER_MAC_BYTES) {
         return -1;
     }
-    (void)crypto_generichash(want, sizeof(want), data + PEER_MAC_BYTES,
-                             len - PEER_MAC_BYTES, secret, 32);
-    if (sodium_memcmp(want, data, PEER_MAC_BYTES) != 0) {
+    (void)crypto_generichash(expected_mac, sizeof(expected_mac),
+                             data + PEER_MAC_BYTES, len - PEER_MAC_BYTES,
+                             secret, 32);
+    if (sodium_memcmp(expected_mac, data, PEER_MAC_BYTES) != 0) {
         return -1;
     }
     msgpack_unpacked_init(&result);
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -50,27 +50,27 @@
 static void
 set_timeouts(int fd, int ms)
 {
-    struct timeval span = {ms / 1000, (ms % 1000) * 1000};
-    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &span, sizeof(span));
-    (void)setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &span, sizeof(span));
+    struct timeval timeout = {ms / 1000, (ms % 1000) * 1000};
+    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
+    (void)setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof(timeout));
 }
 
 static int
 open_socket(const char *addr, int type)
 {
-    struct sockaddr_in at;
+    struct sockaddr_in endpoint;
     int on = 1;
     int fd = socket(AF_INET, type | SOCK_CLOEXEC, 0);
     if (fd < 0) {
         return -1;
     }
-    /* Lets a restarted daemon listen again at once.  Not for UDP, where two
-     * daemons could then bind the same address unnoticed. */
+    /* Lets a restarted daemon listen again at once.  Not for UDP, where
+     * two daemons could then bind the same address unnoticed. */
     if (type == SOCK_STREAM) {
         (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     }
-    if (parse_addr(addr, &at) != 0 ||
-        bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
+    if (parse_addr(addr, &endpoint) != 0 ||
+        bind(fd, (struct sockaddr *)&endpoint, sizeof(endpoint)) != 0) {
         (void)close(fd);
         return -1;
     }
@@ -81,10 +81,10 @@
 static void
 send_to(peer_t *peer, const char *addr, const unsigned char *data, size_t len)
 {
-    struct sockaddr_in at;
-    if (parse_addr(addr, &at) == 0) {
-        (void)sendto(peer->udp_fd, data, len, 0, (struct sockaddr *)&at,
-                     sizeof(at));
+    struct sockaddr_in endpoint;
+    if (parse_addr(addr, &endpoint) == 0) {
+        (void)sendto(peer->udp_fd, data, len, 0, (struct sockaddr *)&endpoint,
+                     sizeof(endpoint));
         (void)__atomic_add_fetch(&peer->bytes_sent, len, __ATOMIC_RELAXED);
     }
 }
@@ -176,14 +176,14 @@
 static int
 read_all(int fd, void *out, size_t len)
 {
-    char *at = out;
+    char *next = out;
     while (len > 0) {
-        ssize_t got = recv(fd, at, len, 0);
-        if (got <= 0) {
+        ssize_t received = recv(fd, next, len, 0);
+        if (received <= 0) {
             return -1;
         }
-        at += got;
-        len -= (size_t)got;
+        next += received;
+        len -= (size_t)received;
     }
     return 0;
 }
@@ -191,14 +191,14 @@
 static int
 write_all(int fd, const void *data, size_t len)
 {
-    const char *at = data;
+    const char *next = data;
     while (len > 0) {
-        ssize_t put = send(fd, at, len, MSG_NOSIGNAL);
-        if (put <= 0) {
+        ssize_t sent = send(fd, next, len, MSG_NOSIGNAL);
+        if (sent <= 0) {
             return -1;
         }
-        at += put;
-        len -= (size_t)put;
+        next += sent;
+        len -= (size_t)sent;
     }
     return 0;
 }
@@ -215,8 +215,8 @@
     (void)msgpack_pack_str_body(&packer, kind, strlen(kind));
     (void)msgpack_pack_str(&packer, strlen(text));
     (void)msgpack_pack_str_body(&packer, text, strlen(text));
-    uint32_t head = htonl((uint32_t)buffer.size);
-    int status = write_all(fd, &head, sizeof(head)) != 0 ||
+    uint32_t net_len = htonl((uint32_t)buffer.size);
+    int status = write_all(fd, &net_len, sizeof(net_len)) != 0 ||
                          write_all(fd, buffer.data, buffer.size) != 0
                      ? -1
                      : 0;
@@ -235,13 +235,13 @@
             MSGPACK_UNPACK_SUCCESS &&
         result.data.type == MSGPACK_OBJECT_ARRAY &&
         result.data.via.array.size == 2) {
-        const msgpack_object *at = result.data.via.array.ptr;
-        if (at[0].type == MSGPACK_OBJECT_STR &&
-            at[1].type == MSGPACK_OBJECT_STR &&
-            at[0].via.str.size < kind_size) {
-            memcpy(kind, at[0].via.str.ptr, at[0].via.str.size);
-            kind[at[0].via.str.size] = '\0';
-            buf_add(text, at[1].via.str.ptr, at[1].via.str.size);
+        const msgpack_object *fields = result.data.via.array.ptr;
+        if (fields[0].type == MSGPACK_OBJECT_STR &&
+            fields[1].type == MSGPACK_OBJECT_STR &&
+            fields[0].via.str.size < kind_size) {
+            memcpy(kind, fields[0].via.str.ptr, fields[0].via.str.size);
+            kind[fields[0].via.str.size] = '\0';
+            buf_add(text, fields[1].via.str.ptr, fields[1].via.str.size);
             status = 0;
         }
     }
@@ -252,11 +252,11 @@
 static int
 receive_frame(int fd, char *kind, size_t kind_size, buf_t *text)
 {
-    uint32_t head;
-    if (read_all(fd, &head, sizeof(head)) != 0) {
+    uint32_t net_len;
+    if (read_all(fd, &net_len, sizeof(net_len)) != 0) {
         return -1;
     }
-    size_t len = ntohl(head);
+    size_t len = ntohl(net_len);
     if (len == 0 || len > FRAME_MAX) {
         return -1;
     }
@@ -329,18 +329,19 @@
 json_t *
 peer_ask(const char *addr, const char *what, int timeout_ms, err_t *err)
 {
-    struct sockaddr_in at;
+    struct sockaddr_in endpoint;
     char kind[32];
     CLEAN_BUF buf_t text = {0};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (fd < 0 || parse_addr(addr, &at) != 0) {
+    if (fd < 0 || parse_addr(addr, &endpoint) != 0) {
         (void)err_set(err, ERR_PEER, 0, "cannot open a socket for %s", addr);
         return NULL;
     }
     set_timeouts(fd, timeout_ms);
-    int failed = connect(fd, (struct sockaddr *)&at, sizeof(at)) != 0 ||
-                 send_frame(fd, what, "") != 0 ||
-                 receive_frame(fd, kind, sizeof(kind), &text) != 0;
+    int failed =
+        connect(fd, (struct sockaddr *)&endpoint, sizeof(endpoint)) != 0 ||
+        send_frame(fd, what, "") != 0 ||
+        receive_frame(fd, kind, sizeof(kind), &text) != 0;
     (void)close(fd);
     if (failed) {
         (void)err_set(err, ERR_PEER, 0, "%s does not answer", addr);
--- a/kernel/store.c
+++ b/kernel/store.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define URL_MAX 384
-#define CONNECT_MS 200
+#define CONNECT_TIMEOUT_MS 200
 
 struct store {
     http_client_t *client;
@@ -129,7 +129,7 @@
     ck_pr_inc_64(&store->calls);
     return (http_call_t){.method = method,
                          .url = url,
-                         .connect_ms = CONNECT_MS,
+                         .connect_ms = CONNECT_TIMEOUT_MS,
                          .total_ms = store->timeout_ms};
 }
 
