--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -57,7 +57,7 @@
         char name[32];
         char hash[KEY_HASH_LEN + 1];
         (void)snprintf(name, sizeof(name), "workspace-%d", i);
-        config_key_hash(name, hash);
+        config_hash_key(name, hash);
         (void)json_object_set_new(json_object_get(doc, "workspaces"), name,
                                   json_pack("{s:s,s:i,s:i}", "key_hash", hash,
                                             "share", 1, "priority", 0));
--- a/kernel/admin.c
+++ b/kernel/admin.c
@@ -28,14 +28,14 @@
     }
     char hash[KEY_HASH_LEN + 1];
     char root[KEY_HASH_LEN + 1];
-    config_key_hash(header + sizeof(scheme) - 1, hash);
-    config_key_hash(daemon->settings.operator_key, root);
+    config_hash_key(header + sizeof(scheme) - 1, hash);
+    config_hash_key(daemon->settings.operator_key, root);
     if (strcmp(hash, root) == 0) {
         str_copy(who, CS_NAME_MAX, ROOT_OPERATOR);
         return true;
     }
     config_t *config = daemon_config(daemon);
-    const operator_t *found = config_operator_by_key(config, hash);
+    const operator_t *found = config_find_operator_by_key(config, hash);
     if (found != NULL) {
         str_copy(who, CS_NAME_MAX, found->name);
     }
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -137,7 +137,7 @@
         call_fail(call, 400, "bad_resume", OUTCOME_NOT_RUN, err.text);
         return;
     }
-    const backend_t *backend = config_backend(config, resume.backend);
+    const backend_t *backend = config_find_backend(config, resume.backend);
     if (!is_resume_of(call, &resume) || backend == NULL) {
         call_fail(call, 409, "other_stream", OUTCOME_NOT_RUN,
                   "Last-Event-ID belongs to another request");
@@ -190,7 +190,7 @@
         return;
     }
     const char *model = json_text(body, "model");
-    if (config_model(config, model) == NULL) {
+    if (config_find_model(config, model) == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
                               outcome_word(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 404, "unknown_model",
@@ -207,7 +207,7 @@
     cache_salt(daemon->settings.secret, workspace->name, model, chat->salt);
     chat->ask = ask_hash(workspace->name, chat);
     prefix_compute(&chat->prefix, json_object_get(body, "messages"),
-                   chat->salt, config_model(config, model)->version);
+                   chat->salt, config_find_model(config, model)->version);
     call->item.cost = chat->prefix.tokens;
     call_event(call, "received", NULL);
     begin(call, http_req_header(req, "Last-Event-ID"), config);
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -123,7 +123,7 @@
                                 CANDIDATES_MAX);
     }
     chat_t *chat = &call->u.chat;
-    const model_t *model = config_model(scene->config, call->target);
+    const model_t *model = config_find_model(scene->config, call->target);
     /* A stream that has begun stays on the weights that it began with. */
     str_copy(version, CS_NAME_MAX,
              chat->emitted > 0 ? call->version
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -311,7 +311,7 @@
     size_t body_len;
     const char *body = http_req_body(req, &body_len);
     str_copy(name, len + 1 < sizeof(name) ? len + 1 : sizeof(name), from);
-    const service_t *service = config_service(config, name);
+    const service_t *service = config_find_service(config, name);
     http_req_reply_header(req, "X-Celeryspool-Service", name);
     if (service == NULL || (key != NULL && strlen(key) > KEY_MAX)) {
         http_req_reply_header(req, OUTCOME_HEADER,
--- a/kernel/command.c
+++ b/kernel/command.c
@@ -155,7 +155,7 @@
     /* A key is kept only as its hash. */
     if (strcmp(key, "key") == 0) {
         char hash[KEY_HASH_LEN + 1];
-        config_key_hash(equals + 1, hash);
+        config_hash_key(equals + 1, hash);
         return json_object_set_new(fields, "key_hash", json_string(hash));
     }
     bool word_value = strcmp(key, "version") == 0 ||
--- a/kernel/config-change.c
+++ b/kernel/config-change.c
@@ -9,7 +9,7 @@
 
 /* The section that a word names, in the singular or plural, or NULL. */
 const char *
-config_section_known(const char *word)
+config_find_section(const char *word)
 {
     for (size_t i = 0; i < sizeof(sections) / sizeof(sections[0]); i++) {
         size_t len = strlen(sections[i]);
@@ -76,8 +76,8 @@
  * change's id tells its author, when the store's answer was lost, whether
  * the change was accepted. */
 json_t *
-config_change_seal(json_t *doc, const char *id, const char *who,
-                   const char *what)
+config_change_record(json_t *doc, const char *id, const char *who,
+                     const char *what)
 {
     int64_t from = json_int(doc, "generation", 0);
     json_t *changes = json_object_get(doc, "changes");
@@ -87,7 +87,7 @@
         json_pack("{s:s,s:s,s:s,s:I,s:I,s:I}", "id", id, "who", who, "what",
                   what, "from", (json_int_t)from, "to", (json_int_t)(from + 1),
                   "at_ms", (json_int_t)time_wall_ms()));
-    while (json_array_size(changes) > CONFIG_CHANGES_KEPT) {
+    while (json_array_size(changes) > CONFIG_CHANGES_MAX) {
         (void)json_array_remove(changes, 0);
     }
     return doc;
@@ -117,7 +117,8 @@
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
         open += strcmp(backend->serves, serves) == 0 &&
-                config_backend_open(config, backend, when_ms) == OPEN_YES;
+                config_backend_availability(config, backend, when_ms) ==
+                    AVAILABILITY_OPEN;
     }
     return open;
 }
@@ -131,7 +132,7 @@
         bool covered = window->kind == WINDOW_DC
                            ? strcmp(window->target, backend->dc) == 0
                            : strcmp(window->target, backend->name) == 0;
-        int lead = config_lead_ms(config, backend);
+        int lead = config_window_lead_ms(config, backend);
         if (!covered || window->kind == WINDOW_HOST) {
             continue;
         }
@@ -158,7 +159,7 @@
 /* What the windows of a configuration would lose, for the operator who
  * declares them. */
 void
-config_warnings(const config_t *config, int64_t now_ms, json_t *out)
+config_list_warnings(const config_t *config, int64_t now_ms, json_t *out)
 {
     for (size_t i = 0; i < config->window_count; i++) {
         if (config->windows[i].end_ms > now_ms) {
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -162,7 +162,7 @@
         return COMMIT_FAILED;
     }
     int64_t version = 0;
-    next = config_change_seal(next, commit->id, commit->who, commit->what);
+    next = config_change_record(next, commit->id, commit->who, commit->what);
     size_t size = json_dumpb(next, NULL, 0, JSON_COMPACT);
     if (size > STORE_VALUE_MAX) {
         json_decref(next);
@@ -223,7 +223,7 @@
 {
     json_t *warnings = json_array();
     config_t *config = daemon_config(commit->daemon);
-    config_warnings(config, time_wall_ms(), warnings);
+    config_list_warnings(config, time_wall_ms(), warnings);
     config_release(config);
     return json_pack("{s:b,s:I,s:s,s:o}", "accepted", true, "generation",
                      (json_int_t)commit->generation, "change", commit->id,
--- a/kernel/config.c
+++ b/kernel/config.c
@@ -21,7 +21,7 @@
 
 /* The hash under which a bearer key is kept. */
 void
-config_key_hash(const char *key, char out[KEY_HASH_LEN + 1])
+config_hash_key(const char *key, char out[KEY_HASH_LEN + 1])
 {
     unsigned char raw[KEY_HASH_LEN / 2];
     (void)crypto_generichash(raw, sizeof(raw), (const unsigned char *)key,
@@ -166,11 +166,11 @@
         item_text(item, "version", true, model->version,
                   sizeof(model->version)) != 0 ||
         item_int(item, "longest_s", LONGEST_DEFAULT_S, 1, 86400,
-                 &model->longest_s) != 0) {
+                 &model->duration_max_s) != 0) {
         return -1;
     }
     return item_int(item, "loads_max", LOADS_DEFAULT, 1, 100,
-                    &model->loads_max);
+                    &model->concurrent_loads_max);
 }
 
 static int
@@ -184,7 +184,7 @@
         return -1;
     }
     return item_int(item, "longest_s", LONGEST_DEFAULT_S, 1, 86400,
-                    &service->longest_s);
+                    &service->duration_max_s);
 }
 
 static int
@@ -200,7 +200,7 @@
         return 0;
     }
     if (kind != NULL && strcmp(kind, "kept") == 0) {
-        backend->kind = BACKEND_KEPT;
+        backend->kind = BACKEND_UNROUTED;
         return 0;
     }
     return item_error(item, "kind", "engine, service or kept");
@@ -300,8 +300,8 @@
         return err_set(err, ERR_CONFIG, 400, "generation is missing");
     }
     config->objective = objective != NULL && strcmp(objective, "hits") == 0
-                            ? OBJECTIVE_HITS
-                            : OBJECTIVE_TAIL;
+                            ? OBJECTIVE_CACHE_HITS
+                            : OBJECTIVE_TAIL_LATENCY;
     str_copy(config->policy, sizeof(config->policy),
              policy == NULL ? "cost" : policy);
     return 0;
@@ -313,10 +313,11 @@
 {
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
-        bool known = backend->kind == BACKEND_KEPT ||
-                     (backend->kind == BACKEND_ENGINE
-                          ? config_model(config, backend->serves) != NULL
-                          : config_service(config, backend->serves) != NULL);
+        bool known =
+            backend->kind == BACKEND_UNROUTED ||
+            (backend->kind == BACKEND_ENGINE
+                 ? config_find_model(config, backend->serves) != NULL
+                 : config_find_service(config, backend->serves) != NULL);
         if (!known) {
             return err_set(err, ERR_CONFIG, 400,
                            "backends %s: serves %s, which is not declared",
@@ -326,7 +327,7 @@
     for (size_t i = 0; i < config->window_count; i++) {
         const window_t *window = &config->windows[i];
         if (window->kind == WINDOW_BACKEND &&
-            config_backend(config, window->target) == NULL) {
+            config_find_backend(config, window->target) == NULL) {
             return err_set(err, ERR_CONFIG, 400,
                            "windows %s: target %s is not declared",
                            window->name, window->target);
@@ -405,21 +406,21 @@
 }
 
 const model_t *
-config_model(const config_t *config, const char *name)
+config_find_model(const config_t *config, const char *name)
 {
     return find_named(config->models, config->model_count, sizeof(model_t),
                       name);
 }
 
 const service_t *
-config_service(const config_t *config, const char *name)
+config_find_service(const config_t *config, const char *name)
 {
     return find_named(config->services, config->service_count,
                       sizeof(service_t), name);
 }
 
 const backend_t *
-config_backend(const config_t *config, const char *name)
+config_find_backend(const config_t *config, const char *name)
 {
     return find_named(config->backends, config->backend_count,
                       sizeof(backend_t), name);
@@ -427,7 +428,7 @@
 
 /* The workspace that a caller's key stands for. */
 const workspace_t *
-config_workspace_by_key(const config_t *config, const char *hash)
+config_find_workspace_by_key(const config_t *config, const char *hash)
 {
     for (size_t i = 0; i < config->workspace_count; i++) {
         if (strcmp(config->workspaces[i].key_hash, hash) == 0) {
@@ -439,7 +440,7 @@
 
 /* The operator that a key stands for. */
 const operator_t *
-config_operator_by_key(const config_t *config, const char *hash)
+config_find_operator_by_key(const config_t *config, const char *hash)
 {
     for (size_t i = 0; i < config->operator_count; i++) {
         if (strcmp(config->operators[i].key_hash, hash) == 0) {
@@ -452,14 +453,14 @@
 /* How long before a window admission has to stop: the longest stream that
  * the server's model or service allows. */
 int
-config_lead_ms(const config_t *config, const backend_t *backend)
+config_window_lead_ms(const config_t *config, const backend_t *backend)
 {
-    const model_t *model = config_model(config, backend->serves);
-    const service_t *service = config_service(config, backend->serves);
+    const model_t *model = config_find_model(config, backend->serves);
+    const service_t *service = config_find_service(config, backend->serves);
     if (backend->kind == BACKEND_ENGINE && model != NULL) {
-        return model->longest_s * 1000;
+        return model->duration_max_s * 1000;
     }
-    return service == NULL ? 0 : service->longest_s * 1000;
+    return service == NULL ? 0 : service->duration_max_s * 1000;
 }
 
 static bool
@@ -477,40 +478,40 @@
 }
 
 /* Whether a backend server may be given new work at a wall time. */
-open_t
-config_backend_open(const config_t *config, const backend_t *backend,
-                    int64_t now_ms)
+availability_t
+config_backend_availability(const config_t *config, const backend_t *backend,
+                            int64_t now_ms)
 {
     if (backend->drain) {
-        return OPEN_DRAINED;
+        return AVAILABILITY_DRAINED;
     }
     for (size_t i = 0; i < config->window_count; i++) {
         const window_t *window = &config->windows[i];
-        int64_t lead = config_lead_ms(config, backend);
+        int64_t lead = config_window_lead_ms(config, backend);
         if (!window_covers(window, backend) || now_ms >= window->end_ms) {
             continue;
         }
         if (now_ms >= window->begin_ms) {
-            return OPEN_WINDOW_NOW;
+            return AVAILABILITY_IN_WINDOW;
         }
         if (now_ms >= window->begin_ms - lead) {
-            return OPEN_WINDOW_NEAR;
+            return AVAILABILITY_WINDOW_NEAR;
         }
     }
-    return OPEN_YES;
+    return AVAILABILITY_OPEN;
 }
 
 /* The longest that any model or service allows a request to run. */
 int
-config_longest_ms(const config_t *config)
+config_duration_max_ms(const config_t *config)
 {
     int longest = 0;
     for (size_t i = 0; i < config->model_count; i++) {
-        int mine = config->models[i].longest_s * 1000;
+        int mine = config->models[i].duration_max_s * 1000;
         longest = mine > longest ? mine : longest;
     }
     for (size_t i = 0; i < config->service_count; i++) {
-        int mine = config->services[i].longest_s * 1000;
+        int mine = config->services[i].duration_max_s * 1000;
         longest = mine > longest ? mine : longest;
     }
     return longest;
@@ -518,8 +519,8 @@
 
 /* Whether a host of ours is clear of windows at a wall time. */
 bool
-config_host_open(const config_t *config, const char *host, const char *dc,
-                 int64_t now_ms, int64_t lead_ms)
+config_host_is_available(const config_t *config, const char *host,
+                         const char *dc, int64_t now_ms, int64_t lead_ms)
 {
     for (size_t i = 0; i < config->window_count; i++) {
         const window_t *window = &config->windows[i];
@@ -536,7 +537,7 @@
 }
 
 const char *
-open_word(open_t open)
+availability_name(availability_t open)
 {
     static const char *const words[] = {"open", "drained", "window-near",
                                         "window"};
--- a/kernel/config.h
+++ b/kernel/config.h
@@ -7,10 +7,14 @@
 #include "base.h"
 
 #define CONFIG_OBJECT "config/main"
-#define CONFIG_CHANGES_KEPT 64
+#define CONFIG_CHANGES_MAX 64
 #define KEY_HASH_LEN 32
 
-typedef enum { BACKEND_ENGINE, BACKEND_SERVICE, BACKEND_KEPT } backend_kind_t;
+typedef enum {
+    BACKEND_ENGINE,
+    BACKEND_SERVICE,
+    BACKEND_UNROUTED
+} backend_kind_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
@@ -22,8 +26,8 @@
 typedef struct {
     char name[CS_NAME_MAX];
     char version[CS_NAME_MAX];
-    int longest_s; /* the longest stream that is allowed */
-    int loads_max; /* replicas that load new weights at once */
+    int duration_max_s;       /* the longest stream that is allowed */
+    int concurrent_loads_max; /* replicas that load new weights at once */
 } model_t;
 
 typedef struct {
@@ -40,7 +44,7 @@
 typedef struct {
     char name[CS_NAME_MAX];
     bool idempotent;
-    int longest_s;
+    int duration_max_s;
 } service_t;
 
 typedef enum { WINDOW_BACKEND, WINDOW_DC, WINDOW_HOST } window_kind_t;
@@ -59,7 +63,7 @@
 } operator_t;
 
 /* How a deployment weighs waiting against recomputing. */
-typedef enum { OBJECTIVE_TAIL, OBJECTIVE_HITS } objective_t;
+typedef enum { OBJECTIVE_TAIL_LATENCY, OBJECTIVE_CACHE_HITS } objective_t;
 
 /* Immutable once parsed; shared by count. */
 typedef struct {
@@ -84,30 +88,31 @@
 
 /* Why a backend server takes no new work. */
 typedef enum {
-    OPEN_YES,
-    OPEN_DRAINED,
-    OPEN_WINDOW_NEAR,
-    OPEN_WINDOW_NOW
-} open_t;
+    AVAILABILITY_OPEN,
+    AVAILABILITY_DRAINED,
+    AVAILABILITY_WINDOW_NEAR,
+    AVAILABILITY_IN_WINDOW
+} availability_t;
 
 json_t *config_empty(void);
 config_t *config_parse(json_t *doc, err_t *err);
 config_t *config_hold(config_t *config);
 void config_release(config_t *config);
-const workspace_t *config_workspace_by_key(const config_t *config,
-                                           const char *hash);
-const operator_t *config_operator_by_key(const config_t *config,
-                                         const char *hash);
-const model_t *config_model(const config_t *config, const char *name);
-const service_t *config_service(const config_t *config, const char *name);
-const backend_t *config_backend(const config_t *config, const char *name);
-open_t config_backend_open(const config_t *config, const backend_t *backend,
-                           int64_t now_ms);
-bool config_host_open(const config_t *config, const char *host, const char *dc,
-                      int64_t now_ms, int64_t lead_ms);
-int config_longest_ms(const config_t *config);
-const char *open_word(open_t open);
-int config_lead_ms(const config_t *config, const backend_t *backend);
+const workspace_t *config_find_workspace_by_key(const config_t *config,
+                                                const char *hash);
+const operator_t *config_find_operator_by_key(const config_t *config,
+                                              const char *hash);
+const model_t *config_find_model(const config_t *config, const char *name);
+const service_t *config_find_service(const config_t *config, const char *name);
+const backend_t *config_find_backend(const config_t *config, const char *name);
+availability_t config_backend_availability(const config_t *config,
+                                           const backend_t *backend,
+                                           int64_t now_ms);
+bool config_host_is_available(const config_t *config, const char *host,
+                              const char *dc, int64_t now_ms, int64_t lead_ms);
+int config_duration_max_ms(const config_t *config);
+const char *availability_name(availability_t open);
+int config_window_lead_ms(const config_t *config, const backend_t *backend);
 
 /* One change that an operator orders. */
 typedef enum { CHANGE_DECLARE, CHANGE_SET, CHANGE_REMOVE } change_kind_t;
@@ -121,11 +126,11 @@
 
 json_t *config_change_apply(const json_t *doc, const change_t *change,
                             err_t *err);
-json_t *config_change_seal(json_t *doc, const char *id, const char *who,
-                           const char *what);
+json_t *config_change_record(json_t *doc, const char *id, const char *who,
+                             const char *what);
 bool config_has_change(const json_t *doc, const char *id, int64_t *generation);
-void config_warnings(const config_t *config, int64_t now_ms, json_t *out);
-const char *config_section_known(const char *word);
-void config_key_hash(const char *key, char out[KEY_HASH_LEN + 1]);
+void config_list_warnings(const config_t *config, int64_t now_ms, json_t *out);
+const char *config_find_section(const char *word);
+void config_hash_key(const char *key, char out[KEY_HASH_LEN + 1]);
 
 #endif
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -161,9 +161,9 @@
 leave_for_window(celeryspoold_t *daemon)
 {
     config_t *config = daemon_config(daemon);
-    bool clear =
-        config_host_open(config, daemon->settings.name, daemon->settings.dc,
-                         time_wall_ms(), config_longest_ms(config));
+    bool clear = config_host_is_available(config, daemon->settings.name,
+                                          daemon->settings.dc, time_wall_ms(),
+                                          config_duration_max_ms(config));
     config_release(config);
     if (!clear && daemon_state(daemon) == STATE_READY) {
         daemon->left_for_window = true;
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -128,7 +128,7 @@
         if (!needs_order(daemon, model, backend)) {
             continue;
         }
-        if (++under_way > model->loads_max) {
+        if (++under_way > model->concurrent_loads_max) {
             return;
         }
         (void)snprintf(duty, sizeof(duty), "order/%s", backend->name);
--- a/kernel/place.c
+++ b/kernel/place.c
@@ -73,8 +73,8 @@
 is_usable(const place_scene_t *scene, const backend_t *backend,
           const backend_state_t *state, const char *version)
 {
-    if (config_backend_open(scene->config, backend, scene->wall_ms) !=
-            OPEN_YES ||
+    if (config_backend_availability(scene->config, backend, scene->wall_ms) !=
+            AVAILABILITY_OPEN ||
         state->host_leaving || state->load.loading[0] != '\0' ||
         scene->now_ms < state->broken_until ||
         is_avoided(scene, backend->name)) {
@@ -97,7 +97,7 @@
     for (size_t i = 0; i < scene->config->backend_count && count < max; i++) {
         const backend_t *backend = &scene->config->backends[i];
         backend_state_t state;
-        if (backend->kind == BACKEND_KEPT ||
+        if (backend->kind == BACKEND_UNROUTED ||
             strcmp(backend->serves, serves) != 0) {
             continue;
         }
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -22,8 +22,8 @@
     const workspace_t *workspace = NULL;
     if (header != NULL && strncmp(header, BEARER, strlen(BEARER)) == 0) {
         char hash[KEY_HASH_LEN + 1];
-        config_key_hash(header + strlen(BEARER), hash);
-        workspace = config_workspace_by_key(config, hash);
+        config_hash_key(header + strlen(BEARER), hash);
+        workspace = config_find_workspace_by_key(config, hash);
     }
     if (workspace == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
--- a/plugins/cmd-declare.c
+++ b/plugins/cmd-declare.c
@@ -11,7 +11,7 @@
         return command_error(ask, ask->count - 1,
                              "a kind and a name are needed");
     }
-    const char *section = config_section_known(ask->words[1]);
+    const char *section = config_find_section(ask->words[1]);
     if (section == NULL) {
         return command_error(ask, 1,
                              "unknown kind %.40s; allowed: workspace, model, "
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -27,7 +27,7 @@
 {
     celeryspoold_t *daemon = ask->daemon;
     config_t *config = daemon_config(daemon);
-    const backend_t *backend = config_backend(config, ask->words[2]);
+    const backend_t *backend = config_find_backend(config, ask->words[2]);
     if (backend == NULL) {
         config_release(config);
         return command_error(ask, 2, "%.40s is not declared", ask->words[2]);
@@ -43,7 +43,8 @@
     }
     ask->result = json_pack(
         "{s:s,s:s,s:b,s:i,s:i,s:i,s:o}", "name", backend->name, "open",
-        open_word(config_backend_open(config, backend, time_wall_ms())),
+        availability_name(
+            config_backend_availability(config, backend, time_wall_ms())),
         "host_leaving", state.host_leaving, "running_there",
         state.load.running, "running_from_here", state.own_running, "failures",
         (int)state.failures, "rows", running);
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -15,8 +15,8 @@
         backend_state_t state = {0};
         (void)view_get(daemon->view, view_id(daemon->view, backend->name),
                        &state);
-        const char *open =
-            open_word(config_backend_open(config, backend, time_wall_ms()));
+        const char *open = availability_name(
+            config_backend_availability(config, backend, time_wall_ms()));
         const char *health =
             state.host_leaving                                  ? "leaving"
             : now < state.broken_until                          ? "broken"
--- a/plugins/policy-cost.c
+++ b/plugins/policy-cost.c
@@ -62,8 +62,8 @@
 cost_of(const candidate_t *candidate, const place_ask_t *ask, bool is_home,
         double factor)
 {
-    double weight = ask->objective == OBJECTIVE_HITS ? WASTE_WEIGHT_HITS
-                                                     : WASTE_WEIGHT_TAIL;
+    double weight = ask->objective == OBJECTIVE_CACHE_HITS ? WASTE_WEIGHT_HITS
+                                                           : WASTE_WEIGHT_TAIL;
     double recompute = place_recompute_ms(candidate, ask->prefix);
     if (is_home && candidate->cached == 0) {
         recompute *= HOME_TRUST;
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -226,8 +226,8 @@
     prefix_t prefix = {.tokens = prompt_shared(&request->prompt)};
     place_ask_t ask = {.prefix = &prefix,
                        .objective = relay->settings.objective != 0
-                                        ? OBJECTIVE_HITS
-                                        : OBJECTIVE_TAIL,
+                                        ? OBJECTIVE_CACHE_HITS
+                                        : OBJECTIVE_TAIL_LATENCY,
                        .turn = relay->turn++};
     size_t best = policy_find("cost")->choose(all, count, &ask);
     request->wait_ms = waits[best];
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -252,7 +252,8 @@
             all[i].rank = place_weight(family, i % 2 == 0 ? "a" : "b") + i;
             all[i].same_dc = true;
         }
-        place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
+        place_ask_t ask = {.prefix = &shared,
+                           .objective = OBJECTIVE_TAIL_LATENCY};
         size_t best = policy_find("cost")->choose(all, SERVERS, &ask);
         play_server_t *server = &servers[best];
         read += (double)(FAMILY_BLOCKS - blocks_kept(server, family)) *
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -61,7 +61,7 @@
 START_TEST(a_sealed_change_has_a_generation_and_is_found_again)
 {
     int64_t generation = 0;
-    json_t *doc = config_change_seal(sample(), "id-1", "ann", "set model m");
+    json_t *doc = config_change_record(sample(), "id-1", "ann", "set model m");
     ck_assert_int_eq(json_int(doc, "generation", 0), 1);
     ck_assert(config_has_change(doc, "id-1", &generation));
     ck_assert_int_eq(generation, 1);
@@ -82,15 +82,20 @@
                         "begin_ms", 100000, "end_ms", 200000),
               &err);
     config_t *config = config_parse(doc, &err);
-    const backend_t *in = config_backend(config, "b1");
-    const backend_t *out = config_backend(config, "b2");
-    ck_assert_int_eq(config_backend_open(config, in, 89999), OPEN_YES);
-    ck_assert_int_eq(config_backend_open(config, in, 90000), OPEN_WINDOW_NEAR);
-    ck_assert_int_eq(config_backend_open(config, in, 100000), OPEN_WINDOW_NOW);
-    ck_assert_int_eq(config_backend_open(config, in, 200000), OPEN_YES);
-    ck_assert_int_eq(config_backend_open(config, out, 150000), OPEN_YES);
-    ck_assert(!config_host_open(config, "h", "dc-a", 150000, 0));
-    ck_assert(config_host_open(config, "h", "dc-b", 150000, 0));
+    const backend_t *in = config_find_backend(config, "b1");
+    const backend_t *out = config_find_backend(config, "b2");
+    ck_assert_int_eq(config_backend_availability(config, in, 89999),
+                     AVAILABILITY_OPEN);
+    ck_assert_int_eq(config_backend_availability(config, in, 90000),
+                     AVAILABILITY_WINDOW_NEAR);
+    ck_assert_int_eq(config_backend_availability(config, in, 100000),
+                     AVAILABILITY_IN_WINDOW);
+    ck_assert_int_eq(config_backend_availability(config, in, 200000),
+                     AVAILABILITY_OPEN);
+    ck_assert_int_eq(config_backend_availability(config, out, 150000),
+                     AVAILABILITY_OPEN);
+    ck_assert(!config_host_is_available(config, "h", "dc-a", 150000, 0));
+    ck_assert(config_host_is_available(config, "h", "dc-b", 150000, 0));
     config_release(config);
     json_decref(doc);
 }
@@ -113,7 +118,7 @@
                 &err);
     config_t *config = config_parse(doc, &err);
     CLEAN_JSON json_t *warnings = json_array();
-    config_warnings(config, 1000, warnings);
+    config_list_warnings(config, 1000, warnings);
     CLEAN_TEXT char *text = json_dumps(warnings, 0);
     ck_assert_ptr_nonnull(strstr(text, "window short: notice is 6000 ms"));
     ck_assert_ptr_nonnull(strstr(text, "no server of m is left open"));
@@ -128,9 +133,9 @@
     json_t *doc = apply(sample(), CHANGE_SET, "backends", "b1",
                         json_pack("{s:b}", "drain", true), &err);
     config_t *config = config_parse(doc, &err);
-    ck_assert_int_eq(
-        config_backend_open(config, config_backend(config, "b1"), 0),
-        OPEN_DRAINED);
+    ck_assert_int_eq(config_backend_availability(
+                         config, config_find_backend(config, "b1"), 0),
+                     AVAILABILITY_DRAINED);
     config_release(config);
     json_decref(doc);
 }
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -178,11 +178,12 @@
     candidate_t all[2] = {held, idle};
     all[1].rank = 0;
     all[0].rank = 1;
-    ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_TAIL), "a");
+    ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_TAIL_LATENCY), "a");
     all[0].wait_ms = 150;
-    ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_TAIL), "b");
-    ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_HITS), "a");
-    ck_assert_str_eq(choose("least-loaded", all, 2, OBJECTIVE_TAIL), "b");
+    ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_TAIL_LATENCY), "b");
+    ck_assert_str_eq(choose("cost", all, 2, OBJECTIVE_CACHE_HITS), "a");
+    ck_assert_str_eq(choose("least-loaded", all, 2, OBJECTIVE_TAIL_LATENCY),
+                     "b");
     ck_assert_ptr_null(policy_find("no-such"));
 }
 END_TEST
@@ -195,10 +196,10 @@
     candidate_t one[3] = {candidate(&a, 0, 0), candidate(&b, 0, 0),
                           candidate(&c, 0, 0)};
     candidate_t two[3] = {one[2], one[0], one[1]};
-    ck_assert_str_eq(choose("cost", one, 3, OBJECTIVE_TAIL),
-                     choose("cost", two, 3, OBJECTIVE_TAIL));
-    ck_assert_str_eq(choose("first-level", one, 3, OBJECTIVE_TAIL),
-                     choose("first-level", two, 3, OBJECTIVE_TAIL));
+    ck_assert_str_eq(choose("cost", one, 3, OBJECTIVE_TAIL_LATENCY),
+                     choose("cost", two, 3, OBJECTIVE_TAIL_LATENCY));
+    ck_assert_str_eq(choose("first-level", one, 3, OBJECTIVE_TAIL_LATENCY),
+                     choose("first-level", two, 3, OBJECTIVE_TAIL_LATENCY));
 }
 END_TEST
 
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -143,7 +143,8 @@
             candidates[i].cached = i == 0 ? PLAY_SHARED_TOKENS : 0;
             candidates[i].rank = place_weight(7, all[i].server->info.id);
         }
-        place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
+        place_ask_t ask = {.prefix = &shared,
+                           .objective = OBJECTIVE_TAIL_LATENCY};
         size_t best =
             policy_find("cost")->choose(candidates, PLAY_SERVERS, &ask);
         in_time += play_take(&all[best], now) <= PLAY_TARGET_MS ? 1 : 0;
