--- a/daemons/celeryspoold.c
+++ b/daemons/celeryspoold.c
@@ -82,7 +82,7 @@
     }
     int seen = 1;
     daemon_leave(daemon);
-    int64_t door = time_mono_ms() + daemon->settings.grace_ms;
+    int64_t door = time_mono_ms() + daemon->settings.shutdown_grace_ms;
     bool closed = false;
     while (!closed || !daemon_left(daemon)) {
         time_sleep_ms(SERVE_STEP_MS);
@@ -95,7 +95,7 @@
             closed = true;
         }
     }
-    int64_t last = time_mono_ms() + daemon->settings.grace_ms;
+    int64_t last = time_mono_ms() + daemon->settings.shutdown_grace_ms;
     while (http_server_connections(daemon->server) > 0 &&
            time_mono_ms() < last) {
         time_sleep_ms(SERVE_STEP_MS);
@@ -125,7 +125,7 @@
     CLEAN_BUF buf_t problems = {0};
     (void)argp_parse(&arguments, argc, argv, 0, NULL, &args);
     if (args.describe) {
-        settings_describe(stdout);
+        settings_print_help(stdout);
         return EXIT_SUCCESS;
     }
     if (sodium_init() < 0) {
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -199,7 +199,8 @@
 chat_watch(call_t *call, int64_t now_us)
 {
     LOCK_SCOPE(&call->lock);
-    int64_t silence_us = (int64_t)call->daemon->settings.silence_ms * 1000;
+    int64_t silence_us =
+        (int64_t)call->daemon->settings.stream_silence_max_ms * 1000;
     if (call->phase != CALL_SENT && call->phase != CALL_STREAMING) {
         return;
     }
--- a/kernel/command-query.c
+++ b/kernel/command-query.c
@@ -61,12 +61,12 @@
 }
 
 static int
-parse_test(command_ask_t *ask, size_t word, test_t *test)
+parse_test(command_context_t *context, size_t word, test_t *test)
 {
-    const char *text = ask->words[word];
+    const char *text = context->words[word];
     size_t len = strcspn(text, "=<>!");
     if (len == 0 || len >= sizeof(test->field) || text[len] == '\0') {
-        return command_error(ask, word,
+        return command_error(context, word,
                              "%.60s is not a comparison; allowed: FIELD=V, "
                              "FIELD!=V, FIELD<V, FIELD>V",
                              text);
@@ -75,7 +75,7 @@
     test->field[len] = '\0';
     bool other = text[len] == '!';
     if (other && text[len + 1] != '=') {
-        return command_error(ask, word, "! needs = behind it");
+        return command_error(context, word, "! needs = behind it");
     }
     test->kind = other              ? TEST_OTHER
                  : text[len] == '=' ? TEST_EQUAL
@@ -86,7 +86,7 @@
 }
 
 static int
-check_field(command_ask_t *ask, size_t word, const char *field,
+check_field(command_context_t *context, size_t word, const char *field,
             const json_t *rows)
 {
     const json_t *first = json_array_get(rows, 0);
@@ -99,16 +99,16 @@
     json_object_foreach ((json_t *)first, key, value) {
         buf_fmt(&list, "%s%s", list.len > 0 ? ", " : "", key);
     }
-    return command_error(ask, word, "no field %.40s here; allowed: %.160s",
+    return command_error(context, word, "no field %.40s here; allowed: %.160s",
                          field, buf_text(&list));
 }
 
 static int
-filter(command_ask_t *ask, size_t word, json_t *rows)
+filter(command_context_t *context, size_t word, json_t *rows)
 {
     test_t test = {.value = ""};
-    if (parse_test(ask, word, &test) != 0 ||
-        check_field(ask, word, test.field, rows) != 0) {
+    if (parse_test(context, word, &test) != 0 ||
+        check_field(context, word, test.field, rows) != 0) {
         return -1;
     }
     for (size_t i = json_array_size(rows); i > 0; i--) {
@@ -142,14 +142,14 @@
 }
 
 static int
-apply_sort(command_ask_t *ask, size_t word, json_t *rows)
+apply_sort(command_context_t *context, size_t word, json_t *rows)
 {
-    if (word >= ask->count) {
-        return command_error(ask, word - 1, "sort needs a field");
+    if (word >= context->word_count) {
+        return command_error(context, word - 1, "sort needs a field");
     }
-    const char *field = ask->words[word];
+    const char *field = context->words[word];
     bool down = field[0] == '-';
-    if (check_field(ask, word, field + down, rows) != 0) {
+    if (check_field(context, word, field + down, rows) != 0) {
         return -1;
     }
     sort_rows(rows, field + down, down);
@@ -157,16 +157,16 @@
 }
 
 static int
-apply_limit(command_ask_t *ask, size_t word, json_t *rows)
+apply_limit(command_context_t *context, size_t word, json_t *rows)
 {
     char *end;
-    if (word >= ask->count) {
-        return command_error(ask, word - 1, "limit needs a number");
+    if (word >= context->word_count) {
+        return command_error(context, word - 1, "limit needs a number");
     }
-    unsigned long max = strtoul(ask->words[word], &end, 10);
-    if (*end != '\0' || end == ask->words[word]) {
-        return command_error(ask, word, "%.40s is not a number",
-                             ask->words[word]);
+    unsigned long max = strtoul(context->words[word], &end, 10);
+    if (*end != '\0' || end == context->words[word]) {
+        return command_error(context, word, "%.40s is not a number",
+                             context->words[word]);
     }
     while (json_array_size(rows) > max) {
         (void)json_array_remove(rows, json_array_size(rows) - 1);
@@ -176,27 +176,27 @@
 
 /* Apply the clauses from a word on to rows and make them the result. */
 int
-query_apply(command_ask_t *ask, size_t from, json_t **rows)
+command_query_apply(command_context_t *context, size_t from, json_t **rows)
 {
     bool where = false;
-    for (size_t i = from; i < ask->count; i++) {
-        const char *word = ask->words[i];
+    for (size_t i = from; i < context->word_count; i++) {
+        const char *word = context->words[i];
         int failed;
         if (strcmp(word, "where") == 0) {
             where = true;
             continue;
         }
         if (strcmp(word, "sort") == 0) {
-            failed = apply_sort(ask, ++i, *rows);
+            failed = apply_sort(context, ++i, *rows);
         }
         else if (strcmp(word, "limit") == 0) {
-            failed = apply_limit(ask, ++i, *rows);
+            failed = apply_limit(context, ++i, *rows);
         }
         else if (where) {
-            failed = filter(ask, i, *rows);
+            failed = filter(context, i, *rows);
         }
         else {
-            failed = command_error(ask, i,
+            failed = command_error(context, i,
                                    "%.40s is not understood; allowed: where, "
                                    "sort, limit",
                                    word);
@@ -206,6 +206,6 @@
             return -1;
         }
     }
-    ask->result = json_pack("{s:o}", "rows", *rows);
+    context->result = json_pack("{s:o}", "rows", *rows);
     return 0;
 }
--- a/kernel/command.c
+++ b/kernel/command.c
@@ -51,15 +51,15 @@
 
 /* Fail, pointing at a word of the line. */
 int
-command_error(command_ask_t *ask, size_t word, const char *fmt, ...)
+command_error(command_context_t *context, size_t word, const char *fmt, ...)
 {
     char text[256];
     va_list args;
     va_start(args, fmt);
     (void)vsnprintf(text, sizeof(text), fmt, args);
     va_end(args);
-    ask->bad_word = word;
-    return err_set(&ask->err, ERR_COMMAND, 400, "%s", text);
+    context->error_word = word;
+    return err_set(&context->err, ERR_COMMAND, 400, "%s", text);
 }
 
 static char *
@@ -138,19 +138,19 @@
 }
 
 static int
-add_field(command_ask_t *ask, json_t *fields, size_t word)
+add_field(command_context_t *context, json_t *fields, size_t word)
 {
     char key[CS_NAME_MAX];
-    const char *text = ask->words[word];
+    const char *text = context->words[word];
     const char *equals = strchr(text, '=');
     if (equals == NULL || equals == text ||
         (size_t)(equals - text) >= sizeof(key)) {
-        return command_error(ask, word, "%.60s is not FIELD=VALUE", text);
+        return command_error(context, word, "%.60s is not FIELD=VALUE", text);
     }
     memcpy(key, text, (size_t)(equals - text));
     key[equals - text] = '\0';
     if (json_object_get(fields, key) != NULL) {
-        return command_error(ask, word, "%s is given twice", key);
+        return command_error(context, word, "%s is given twice", key);
     }
     /* A key is kept only as its hash. */
     if (strcmp(key, "key") == 0) {
@@ -168,11 +168,11 @@
 
 /* The words from one on as FIELD=VALUE; NULL with an error. */
 json_t *
-command_fields(command_ask_t *ask, size_t from)
+command_fields(command_context_t *context, size_t from)
 {
     json_t *fields = json_object();
-    for (size_t i = from; i < ask->count; i++) {
-        if (add_field(ask, fields, i) != 0) {
+    for (size_t i = from; i < context->word_count; i++) {
+        if (add_field(context, fields, i) != 0) {
             json_decref(fields);
             return NULL;
         }
@@ -182,40 +182,42 @@
 
 /* Commit a change in the name of who asked. */
 int
-command_commit(command_ask_t *ask, const change_t *change)
+command_commit(command_context_t *context, const change_t *change)
 {
     char what[200];
-    (void)snprintf(what, sizeof(what), "%s %s %s", ask->words[0],
+    (void)snprintf(what, sizeof(what), "%s %s %s", context->words[0],
                    change->section, change->name == NULL ? "" : change->name);
-    return config_sync_commit(ask->daemon, change, ask->who, what,
-                              ask->if_generation, &ask->result, &ask->err);
+    return config_sync_commit(context->daemon, change, context->operator_name,
+                              what, context->if_generation, &context->result,
+                              &context->err);
 }
 
 static json_t *
-error_reply(const command_ask_t *ask)
+error_reply(const command_context_t *context)
 {
     json_t *reply = json_pack(
-        "{s:{s:s,s:s,s:i}}", "error", "layer", err_layer_name(ask->err.layer),
-        "message", ask->err.text, "word",
-        ask->err.layer == ERR_COMMAND ? (int)ask->bad_word : -1);
-    if (ask->result != NULL) {
-        (void)json_object_update(reply, ask->result);
+        "{s:{s:s,s:s,s:i}}", "error", "layer",
+        err_layer_name(context->err.layer), "message", context->err.text,
+        "word",
+        context->err.layer == ERR_COMMAND ? (int)context->error_word : -1);
+    if (context->result != NULL) {
+        (void)json_object_update(reply, context->result);
     }
     return reply;
 }
 
 static int
-run_words(command_ask_t *ask)
+run_words(command_context_t *context)
 {
-    if (ask->count == 0) {
-        return command_error(ask, 0, "no command; try help");
+    if (context->word_count == 0) {
+        return command_error(context, 0, "no command; try help");
     }
-    const command_t *command = command_find(ask->words[0]);
+    const command_t *command = command_find(context->words[0]);
     if (command == NULL) {
-        return command_error(ask, 0, "unknown command %.60s; try help",
-                             ask->words[0]);
+        return command_error(context, 0, "unknown command %.60s; try help",
+                             context->words[0]);
     }
-    return command->run(ask);
+    return command->run(context);
 }
 
 /* Run a line and give its reply and HTTP status.  May block. */
@@ -224,19 +226,20 @@
             int64_t if_generation, json_t **reply, int *status)
 {
     CLEAN_TEXT char *copy = strdup(line);
-    command_ask_t ask = {.daemon = daemon,
-                         .who = who,
-                         .line = line,
-                         .if_generation = if_generation};
-    ask.count = command_split(copy, ask.words, COMMAND_WORDS_MAX, &ask.err);
-    int failed = ask.err.layer != ERR_NONE || run_words(&ask) != 0;
+    command_context_t context = {.daemon = daemon,
+                                 .operator_name = who,
+                                 .line = line,
+                                 .if_generation = if_generation};
+    context.word_count =
+        command_split(copy, context.words, COMMAND_WORDS_MAX, &context.err);
+    int failed = context.err.layer != ERR_NONE || run_words(&context) != 0;
     if (failed) {
-        *status = ask.err.code >= 400 ? ask.err.code : 500;
-        *reply = error_reply(&ask);
-        json_decref(ask.result);
+        *status = context.err.code >= 400 ? context.err.code : 500;
+        *reply = error_reply(&context);
+        json_decref(context.result);
         return -1;
     }
     *status = 200;
-    *reply = ask.result != NULL ? ask.result : json_object();
+    *reply = context.result != NULL ? context.result : json_object();
     return 0;
 }
--- a/kernel/command.h
+++ b/kernel/command.h
@@ -10,22 +10,22 @@
 
 typedef struct {
     celeryspoold_t *daemon;
-    const char *who;
+    const char *operator_name;
     const char *line;
     char *words[COMMAND_WORDS_MAX];
-    size_t count;
+    size_t word_count;
     int64_t if_generation; /* -1 for whichever is in force */
     json_t *result;        /* rows or what was accepted */
     err_t err;
-    size_t bad_word; /* the word that an error points at */
-} command_ask_t;
+    size_t error_word; /* the word that an error points at */
+} command_context_t;
 
 typedef struct command {
     const char *name;
     const char *usage;
     const char *about;
-    bool changes;
-    int (*run)(command_ask_t *ask);
+    bool changes_config;
+    int (*run)(command_context_t *context);
     CK_SLIST_ENTRY(command) entry;
 } command_t;
 
@@ -34,11 +34,12 @@
 const command_t *command_next(const command_t *command);
 int command_run(celeryspoold_t *daemon, const char *who, const char *line,
                 int64_t if_generation, json_t **reply, int *status);
-int command_error(command_ask_t *ask, size_t word, const char *fmt, ...)
-    __attribute__((format(printf, 3, 4)));
-json_t *command_fields(command_ask_t *ask, size_t from);
-int command_commit(command_ask_t *ask, const change_t *change);
+int command_error(command_context_t *context, size_t word, const char *fmt,
+                  ...) __attribute__((format(printf, 3, 4)));
+json_t *command_fields(command_context_t *context, size_t from);
+int command_commit(command_context_t *context, const change_t *change);
 size_t command_split(char *line, char **words, size_t max, err_t *err);
-int query_apply(command_ask_t *ask, size_t from, json_t **rows);
+int command_query_apply(command_context_t *context, size_t from,
+                        json_t **rows);
 
 #endif
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -33,8 +33,8 @@
     err_t err = {0};
     str_copy(self.name, sizeof(self.name), settings->name);
     str_copy(self.dc, sizeof(self.dc), settings->dc);
-    str_copy(self.peer, sizeof(self.peer), settings->peer);
-    str_copy(self.http, sizeof(self.http), settings->http);
+    str_copy(self.peer, sizeof(self.peer), settings->peer_addr);
+    str_copy(self.http, sizeof(self.http), settings->http_addr);
     (void)pthread_mutex_init(&daemon->config_lock, NULL);
     (void)pthread_mutex_init(&daemon->lanes_lock, NULL);
     (void)pthread_mutex_init(&daemon->calls_lock, NULL);
@@ -56,8 +56,8 @@
 {
     const settings_t *settings = &daemon->settings;
     daemon->client = http_client_new((unsigned)settings->relay_threads);
-    daemon->store =
-        store_new(daemon->client, settings->store, settings->store_timeout_ms);
+    daemon->store = store_new(daemon->client, settings->store_addr,
+                              settings->store_timeout_ms);
     daemon->claims = claim_log_new(daemon->store, CLAIM_SHARDS);
     daemon->pool = pool_new(POOL_THREADS);
 }
@@ -221,11 +221,11 @@
     (void)pthread_create(&daemon->watcher, NULL, config_sync_run, daemon);
     (void)pthread_create(&daemon->orderer, NULL, order_run, daemon);
     http_server_opts_t opts = {
-        .addr = settings->http,
+        .addr = settings->http_addr,
         .threads = (unsigned)settings->http_threads,
-        .body_max = (size_t)settings->body_kib * 1024,
-        .connections_max = (unsigned)settings->connections,
-        .idle_seconds = (unsigned)settings->idle_seconds,
+        .body_max = (size_t)settings->body_max_kib * 1024,
+        .connections_max = (unsigned)settings->connections_max,
+        .idle_seconds = (unsigned)settings->idle_timeout_s,
         .handler = route_handle,
         .arg = daemon};
     daemon->server = http_server_start(&opts, err);
@@ -248,8 +248,8 @@
     if (start_edges(daemon, err) != 0) {
         return NULL;
     }
-    log_info("daemon", "Listening on %s, peers on %s.", settings->http,
-             settings->peer);
+    log_info("daemon", "Listening on %s, peers on %s.", settings->http_addr,
+             settings->peer_addr);
     return daemon;
 }
 
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -442,11 +442,11 @@
     peer_t *peer = mem_zalloc(sizeof(*peer));
     peer->daemon = daemon;
     (void)pthread_mutex_init(&peer->lock, NULL);
-    peer->udp = open_socket(daemon->settings.peer, SOCK_DGRAM);
-    peer->tcp = open_socket(daemon->settings.peer, SOCK_STREAM);
+    peer->udp = open_socket(daemon->settings.peer_addr, SOCK_DGRAM);
+    peer->tcp = open_socket(daemon->settings.peer_addr, SOCK_STREAM);
     if (peer->udp < 0 || peer->tcp < 0 || listen(peer->tcp, 64) != 0) {
         (void)err_set(err, ERR_PEER, 0, "cannot listen on %s",
-                      daemon->settings.peer);
+                      daemon->settings.peer_addr);
         free(peer);
         return NULL;
     }
--- a/kernel/settings.c
+++ b/kernel/settings.c
@@ -44,27 +44,28 @@
      false, "info", "error, warn, info or debug"},
     {"daemon", "event_log", TYPE_TEXT, AT(event_log), ROOM(event_log), 0, 0,
      MODE_CHAT, false, "", "file for events; empty keeps them in memory only"},
-    {"daemon", "grace_ms", TYPE_INT, AT(grace_ms), 0, 0, 600000, MODE_CHAT,
-     false, "2000",
+    {"daemon", "grace_ms", TYPE_INT, AT(shutdown_grace_ms), 0, 0, 600000,
+     MODE_CHAT, false, "2000",
      "how long a stop still takes requests while the balancer leaves"},
-    {"listen", "http", TYPE_ADDR, AT(http), ROOM(http), 0, 0, MODE_BOTH, true,
-     NULL, "callers and operators"},
-    {"listen", "peer", TYPE_ADDR, AT(peer), ROOM(peer), 0, 0, MODE_BOTH, true,
-     NULL, "other daemons, TCP and UDP"},
+    {"listen", "http", TYPE_ADDR, AT(http_addr), ROOM(http_addr), 0, 0,
+     MODE_BOTH, true, NULL, "callers and operators"},
+    {"listen", "peer", TYPE_ADDR, AT(peer_addr), ROOM(peer_addr), 0, 0,
+     MODE_BOTH, true, NULL, "other daemons, TCP and UDP"},
     {"listen", "http_threads", TYPE_INT, AT(http_threads), 0, 1, 64, MODE_CHAT,
      false, "2", "threads that serve callers"},
-    {"listen", "connections", TYPE_INT, AT(connections), 0, 16, 100000,
+    {"listen", "connections", TYPE_INT, AT(connections_max), 0, 16, 100000,
      MODE_CHAT, false, "8000", "callers' connections at once"},
-    {"listen", "body_kib", TYPE_INT, AT(body_kib), 0, 1, 65536, MODE_CHAT,
+    {"listen", "body_kib", TYPE_INT, AT(body_max_kib), 0, 1, 65536, MODE_CHAT,
      false, "1024", "longest request body"},
-    {"listen", "idle_seconds", TYPE_INT, AT(idle_seconds), 0, 1, 3600,
+    {"listen", "idle_seconds", TYPE_INT, AT(idle_timeout_s), 0, 1, 3600,
      MODE_CHAT, false, "30", "a caller that is silent for longer is cut"},
     {"relay", "threads", TYPE_INT, AT(relay_threads), 0, 1, 64, MODE_CHAT,
      false, "2", "threads that talk to backend servers"},
-    {"relay", "silence_ms", TYPE_INT, AT(silence_ms), 0, 50, 60000, MODE_CHAT,
-     false, "500", "a stream that is silent for longer is asked after"},
-    {"platform", "store", TYPE_ADDR, AT(store), ROOM(store), 0, 0, MODE_BOTH,
-     true, NULL, "the platform's object API"},
+    {"relay", "silence_ms", TYPE_INT, AT(stream_silence_max_ms), 0, 50, 60000,
+     MODE_CHAT, false, "500",
+     "a stream that is silent for longer is asked after"},
+    {"platform", "store", TYPE_ADDR, AT(store_addr), ROOM(store_addr), 0, 0,
+     MODE_BOTH, true, NULL, "the platform's object API"},
     {"platform", "timeout_ms", TYPE_INT, AT(store_timeout_ms), 0, 10, 60000,
      MODE_CHAT, false, "500", "longest wait for one call to the platform"},
     {"peers", "seeds", TYPE_ADDRS, AT(seeds), 0, 0, 0, MODE_BOTH, false, "",
@@ -75,15 +76,16 @@
      MODE_CHAT, true, NULL, "bearer key of the first operator"},
     {"daemon", "mode", TYPE_MODE, AT(mode), 0, 0, 0, MODE_BOTH, false, "chat",
      "chat: the own interface; relay: the router on the users' platform"},
-    {"listen", "ready", TYPE_ADDR, AT(ready), ROOM(ready), 0, 0, MODE_RELAY,
-     true, NULL, "the balancer's question whether this daemon is ready"},
-    {"listen", "metrics", TYPE_ADDR, AT(metrics), ROOM(metrics), 0, 0,
-     MODE_RELAY, true, NULL, "counters and histograms, as text"},
+    {"listen", "ready", TYPE_ADDR, AT(ready_addr), ROOM(ready_addr), 0, 0,
+     MODE_RELAY, true, NULL,
+     "the balancer's question whether this daemon is ready"},
+    {"listen", "metrics", TYPE_ADDR, AT(metrics_addr), ROOM(metrics_addr), 0,
+     0, MODE_RELAY, true, NULL, "counters and histograms, as text"},
     {"relay", "objective", TYPE_OBJECTIVE, AT(objective), 0, 0, 0, MODE_RELAY,
      false, "tail", "what placement weighs most: tail (time) or hits"},
-    {"relay", "stop_s", TYPE_REAL, AT(stop_s), 0, 1, 3600, MODE_RELAY, true,
-     NULL, "seconds from a stop's signal until the process is killed"},
-    {"relay", "hosts", TYPE_INT, AT(hosts), 0, 1, 10000, MODE_RELAY, false,
+    {"relay", "stop_s", TYPE_REAL, AT(stop_timeout_s), 0, 1, 3600, MODE_RELAY,
+     true, NULL, "seconds from a stop's signal until the process is killed"},
+    {"relay", "hosts", TYPE_INT, AT(hosts_min), 0, 1, 10000, MODE_RELAY, false,
      "4", "daemons that share the retries at least"},
     {"relay", "retry_ratio", TYPE_REAL, AT(retry_ratio), 0, 0, 1, MODE_RELAY,
      true, NULL, "retries for each request, as a fraction"},
@@ -102,7 +104,7 @@
      "units of a limit that may be exceeded besides, in a window"},
     {"relay", "lease_ms", TYPE_REAL, AT(lease_ms), 0, 100, 600000, MODE_RELAY,
      true, NULL, "how long the lease on orders holds"},
-    {"relay", "weights_ms", TYPE_REAL, AT(weights_ms), 0, 100, 3600000,
+    {"relay", "weights_ms", TYPE_REAL, AT(old_weights_max_ms), 0, 100, 3600000,
      MODE_RELAY, true, NULL,
      "older weights may begin an answer for so long after newer are named"},
 };
@@ -218,7 +220,7 @@
             continue;
         }
         if (!addr_is_valid(word) ||
-            settings->seed_count == SETTINGS_PEERS_MAX) {
+            settings->seed_count == SETTINGS_SEEDS_MAX) {
             return false;
         }
         str_copy(settings->seeds[settings->seed_count++], CS_ADDR_MAX, word);
@@ -398,21 +400,21 @@
 check_contradictions(reader_t *reader)
 {
     const settings_t *settings = reader->settings;
-    if (settings->http[0] != '\0' &&
-        strcmp(settings->http, settings->peer) == 0) {
+    if (settings->http_addr[0] != '\0' &&
+        strcmp(settings->http_addr, settings->peer_addr) == 0) {
         problem(reader, line_of(reader, "listen", "peer"),
                 "peer is the address of http in line %d; allowed: another "
                 "port",
                 line_of(reader, "listen", "http"));
     }
-    if (settings->store[0] != '\0' &&
-        strcmp(settings->http, settings->store) == 0) {
+    if (settings->store_addr[0] != '\0' &&
+        strcmp(settings->http_addr, settings->store_addr) == 0) {
         problem(reader, line_of(reader, "platform", "store"),
                 "store is this daemon's own http address; allowed: the "
                 "platform's");
     }
     for (unsigned i = 0; i < settings->seed_count; i++) {
-        if (strcmp(settings->seeds[i], settings->http) == 0) {
+        if (strcmp(settings->seeds[i], settings->http_addr) == 0) {
             problem(reader, line_of(reader, "peers", "seeds"),
                     "%s is an http address; allowed: peer addresses",
                     settings->seeds[i]);
@@ -422,8 +424,8 @@
 
 /* Read settings from text; problems get the given file name. */
 int
-settings_read_text(settings_t *settings, const char *name, const char *text,
-                   buf_t *problems)
+settings_parse(settings_t *settings, const char *name, const char *text,
+               buf_t *problems)
 {
     reader_t reader = {.file = name,
                        .text = text,
@@ -462,12 +464,12 @@
         buf_fmt(problems, "%s:0: holds a NUL byte\n", path);
         return -1;
     }
-    return settings_read_text(settings, path, buf_text(&text), problems);
+    return settings_parse(settings, path, buf_text(&text), problems);
 }
 
 /* Print every setting with its fallback, for --help-settings. */
 void
-settings_describe(FILE *out)
+settings_print_help(FILE *out)
 {
     for (size_t i = 0; i < SETTINGS_COUNT; i++) {
         const setting_t *entry = &settings_table[i];
--- a/kernel/settings.h
+++ b/kernel/settings.h
@@ -5,7 +5,7 @@
 
 #include "base.h"
 
-#define SETTINGS_PEERS_MAX 16
+#define SETTINGS_SEEDS_MAX 16
 #define SECRET_BYTES 32
 
 /* What a daemon is: the product's own interface, or the router on the users'
@@ -18,41 +18,41 @@
     char dc[CS_NAME_MAX];
     int mode;
     int objective;
-    char ready[CS_ADDR_MAX];
-    char metrics[CS_ADDR_MAX];
-    double stop_s;
+    char ready_addr[CS_ADDR_MAX];
+    char metrics_addr[CS_ADDR_MAX];
+    double stop_timeout_s;
     double lease_ms;
-    double weights_ms;
+    double old_weights_max_ms;
     double retry_ratio;
     double retry_slack;
     double retry_window_s;
     double quota_window_s;
     double quota_overage;
     double quota_slack;
-    int hosts;
+    int hosts_min;
     int log_level;
     char event_log[256];
-    char http[CS_ADDR_MAX];
-    char peer[CS_ADDR_MAX];
-    char store[CS_ADDR_MAX];
-    char seeds[SETTINGS_PEERS_MAX][CS_ADDR_MAX];
+    char http_addr[CS_ADDR_MAX];
+    char peer_addr[CS_ADDR_MAX];
+    char store_addr[CS_ADDR_MAX];
+    char seeds[SETTINGS_SEEDS_MAX][CS_ADDR_MAX];
     unsigned seed_count;
     unsigned char secret[SECRET_BYTES];
     char operator_key[CS_NAME_MAX * 2];
     int http_threads;
     int relay_threads;
-    int connections;
-    int body_kib;
-    int idle_seconds;
-    int grace_ms;
-    int silence_ms;
+    int connections_max;
+    int body_max_kib;
+    int idle_timeout_s;
+    int shutdown_grace_ms;
+    int stream_silence_max_ms;
     int store_timeout_ms;
 } settings_t;
 
 /* All that is wrong with a file, a line each: "file:line: what". */
 int settings_read(settings_t *settings, const char *path, buf_t *problems);
-int settings_read_text(settings_t *settings, const char *name,
-                       const char *text, buf_t *problems);
-void settings_describe(FILE *out);
+int settings_parse(settings_t *settings, const char *name, const char *text,
+                   buf_t *problems);
+void settings_print_help(FILE *out);
 
 #endif
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -133,7 +133,7 @@
     const settings_t *settings = &daemon->settings;
     for (unsigned i = 0; i < settings->seed_count; i++) {
         err_t err = {0};
-        if (strcmp(settings->seeds[i], settings->peer) == 0) {
+        if (strcmp(settings->seeds[i], settings->peer_addr) == 0) {
             continue;
         }
         CLEAN_JSON json_t *snapshot =
--- a/plugins/cmd-drain.c
+++ b/plugins/cmd-drain.c
@@ -3,39 +3,39 @@
 /* drain and undrain BACKEND. */
 
 static int
-set_drain(command_ask_t *ask, bool drain)
+set_drain(command_context_t *context, bool drain)
 {
-    if (ask->count != 2) {
-        return command_error(ask, ask->count > 2 ? 2 : 0,
+    if (context->word_count != 2) {
+        return command_error(context, context->word_count > 2 ? 2 : 0,
                              "the name of one backend server is needed");
     }
     CLEAN_JSON json_t *fields = json_pack("{s:b}", "drain", drain);
-    change_t order = {CHANGE_SET, "backends", ask->words[1], fields};
-    return command_commit(ask, &order);
+    change_t order = {CHANGE_SET, "backends", context->words[1], fields};
+    return command_commit(context, &order);
 }
 
 static int
-run_drain(command_ask_t *ask)
+run_drain(command_context_t *context)
 {
-    return set_drain(ask, true);
+    return set_drain(context, true);
 }
 
 static int
-run_undrain(command_ask_t *ask)
+run_undrain(command_context_t *context)
 {
-    return set_drain(ask, false);
+    return set_drain(context, false);
 }
 
 static command_t commands[] = {
     {.name = "drain",
      .usage = "drain BACKEND",
      .about = "gives a backend server no new work; what runs there ends",
-     .changes = true,
+     .changes_config = true,
      .run = run_drain},
     {.name = "undrain",
      .usage = "undrain BACKEND",
      .about = "gives a backend server work again",
-     .changes = true,
+     .changes_config = true,
      .run = run_undrain},
 };
 
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -8,29 +8,30 @@
 #define EVENTS_MAX 200
 
 static int
-explain_request(command_ask_t *ask)
+explain_request(command_context_t *context)
 {
-    json_t *rows = event_recent(ask->words[2], NULL, EVENTS_MAX);
+    json_t *rows = event_recent(context->words[2], NULL, EVENTS_MAX);
     if (json_array_size(rows) == 0) {
         json_decref(rows);
-        return command_error(ask, 2,
+        return command_error(context, 2,
                              "this daemon knows no request %.40s; ask the one "
                              "that served it",
-                             ask->words[2]);
+                             context->words[2]);
     }
-    ask->result = json_pack("{s:o}", "rows", rows);
+    context->result = json_pack("{s:o}", "rows", rows);
     return 0;
 }
 
 static int
-explain_backend(command_ask_t *ask)
+explain_backend(command_context_t *context)
 {
-    celeryspoold_t *daemon = ask->daemon;
+    celeryspoold_t *daemon = context->daemon;
     config_t *config = daemon_config(daemon);
-    const backend_t *backend = config_find_backend(config, ask->words[2]);
+    const backend_t *backend = config_find_backend(config, context->words[2]);
     if (backend == NULL) {
         config_release(config);
-        return command_error(ask, 2, "%.40s is not declared", ask->words[2]);
+        return command_error(context, 2, "%.40s is not declared",
+                             context->words[2]);
     }
     backend_state_t state = {0};
     (void)view_get(daemon->view, view_id(daemon->view, backend->name), &state);
@@ -41,7 +42,7 @@
             (void)json_array_remove(running, i - 1);
         }
     }
-    ask->result = json_pack(
+    context->result = json_pack(
         "{s:s,s:s,s:b,s:i,s:i,s:i,s:o}", "name", backend->name, "open",
         availability_name(
             config_backend_availability(config, backend, time_wall_ms())),
@@ -53,15 +54,17 @@
 }
 
 static int
-run(command_ask_t *ask)
+run(command_context_t *context)
 {
-    if (ask->count == 3 && strcmp(ask->words[1], "request") == 0) {
-        return explain_request(ask);
+    if (context->word_count == 3 &&
+        strcmp(context->words[1], "request") == 0) {
+        return explain_request(context);
     }
-    if (ask->count == 3 && strcmp(ask->words[1], "backend") == 0) {
-        return explain_backend(ask);
+    if (context->word_count == 3 &&
+        strcmp(context->words[1], "backend") == 0) {
+        return explain_backend(context);
     }
-    return command_error(ask, ask->count > 1 ? 1 : 0,
+    return command_error(context, context->word_count > 1 ? 1 : 0,
                          "allowed: explain request ID, explain backend NAME");
 }
 
--- a/plugins/cmd-help.c
+++ b/plugins/cmd-help.c
@@ -2,7 +2,7 @@
 
 /* help lists the table of commands. */
 static int
-run(command_ask_t *ask)
+run(command_context_t *context)
 {
     json_t *rows = json_array();
     for (const command_t *command = command_next(NULL); command != NULL;
@@ -10,9 +10,9 @@
         (void)json_array_append_new(
             rows, json_pack("{s:s,s:s,s:s,s:b}", "name", command->name,
                             "usage", command->usage, "about", command->about,
-                            "changes", command->changes));
+                            "changes", command->changes_config));
     }
-    return query_apply(ask, 1, &rows);
+    return command_query_apply(context, 1, &rows);
 }
 
 static command_t command = {.name = "help",
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -166,17 +166,18 @@
 };
 
 static int
-run(command_ask_t *ask)
+run(command_context_t *context)
 {
     CLEAN_BUF buf_t list = {0};
     for (size_t i = 0; i < sizeof(topics) / sizeof(topics[0]); i++) {
-        if (ask->count > 1 && strcmp(topics[i].topic, ask->words[1]) == 0) {
-            json_t *rows = topics[i].rows(ask->daemon);
-            return query_apply(ask, 2, &rows);
+        if (context->word_count > 1 &&
+            strcmp(topics[i].topic, context->words[1]) == 0) {
+            json_t *rows = topics[i].rows(context->daemon);
+            return command_query_apply(context, 2, &rows);
         }
         buf_fmt(&list, "%s%s", i > 0 ? ", " : "", topics[i].topic);
     }
-    return command_error(ask, ask->count > 1 ? 1 : 0,
+    return command_error(context, context->word_count > 1 ? 1 : 0,
                          "show needs a topic; allowed: %s", buf_text(&list));
 }
 
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -295,7 +295,7 @@
 void
 discovery_start(relay_t *relay)
 {
-    const char *store = relay->settings.store;
+    const char *store = relay->settings.store_addr;
     const watch_hooks_t shared = {.other = other_daemon,
                                   .upstream = upstream_daemon,
                                   .upstream_lost = upstream_lost,
--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -106,10 +106,11 @@
     static const door_hooks_t metrics = {.limits = question_limits,
                                          .on_request = on_metrics_request,
                                          .on_left = object_cache_caller_left};
-    relay->ready_door = open_at(relay, relay->settings.ready, &ready, err);
+    relay->ready_door =
+        open_at(relay, relay->settings.ready_addr, &ready, err);
     relay->metrics_door =
-        open_at(relay, relay->settings.metrics, &metrics, err);
-    relay->door = open_at(relay, relay->settings.http, &callers, err);
+        open_at(relay, relay->settings.metrics_addr, &metrics, err);
+    relay->door = open_at(relay, relay->settings.http_addr, &callers, err);
     return relay->door != NULL && relay->ready_door != NULL &&
                    relay->metrics_door != NULL
                ? 0
--- a/relay/peer-discovery.c
+++ b/relay/peer-discovery.c
@@ -69,22 +69,22 @@
 {
     const settings_t *settings = look->settings;
     CLEAN_BUF buf_t head = {0};
-    CLEAN_JSON json_t *spec = platform_peer_spec(settings->peer);
+    CLEAN_JSON json_t *spec = platform_peer_spec(settings->peer_addr);
     switch (look->step) {
         case LOOK_WRITE:
-            platform_create_call(&head, settings->store, KIND_PEERS,
+            platform_create_call(&head, settings->store_addr, KIND_PEERS,
                                  settings->name, spec);
             break;
         case LOOK_REPLACE:
-            platform_replace_call(&head, settings->store, KIND_PEERS,
+            platform_replace_call(&head, settings->store_addr, KIND_PEERS,
                                   settings->name, 0, spec);
             break;
         case LOOK_LIST:
         case LOOK_DONE:
-            platform_list_call(&head, settings->store, KIND_PEERS, "");
+            platform_list_call(&head, settings->store_addr, KIND_PEERS, "");
             break;
     }
-    fetch_ask_t ask = {.addr = settings->store,
+    fetch_ask_t ask = {.addr = settings->store_addr,
                        .call = &head,
                        .connect_ms = STORE_CONNECT_MS,
                        .total_ms = STORE_CALL_MS,
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -90,7 +90,7 @@
     peers_t *peers = arg;
     struct sockaddr_in at;
     if (peers_addr_of(addr, &at) == 0 &&
-        strcmp(addr, peers->relay->settings.peer) != 0) {
+        strcmp(addr, peers->relay->settings.peer_addr) != 0) {
         quotas_host_known(&peers->relay->quotas, peers_host_of(&at),
                           time_mono_ms());
     }
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -21,7 +21,7 @@
 {
     relay_t *relay = peers->relay;
     double part = retry_hosts_part(&peers->hosts, peers_live(peers),
-                                   (size_t)relay->settings.hosts, now);
+                                   (size_t)relay->settings.hosts_min, now);
     relay->retries.slack = part * relay->settings.retry_slack;
 }
 
@@ -85,7 +85,7 @@
 add_seeds(peers_t *peers)
 {
     const settings_t *settings = &peers->relay->settings;
-    const char *port = strrchr(settings->peer, ':');
+    const char *port = strrchr(settings->peer_addr, ':');
     for (unsigned i = 0; i < settings->seed_count && port != NULL; i++) {
         char addr[CS_ADDR_MAX * 2];
         const char *colon = strrchr(settings->seeds[i], ':');
@@ -100,18 +100,18 @@
 peers_t *
 peers_start(relay_t *relay, err_t *err)
 {
-    int fd = socket_open(relay->settings.peer);
+    int fd = socket_open(relay->settings.peer_addr);
     if (fd < 0) {
         (void)err_set(err, ERR_PEER, 1, "cannot listen at %s",
-                      relay->settings.peer);
+                      relay->settings.peer_addr);
         return NULL;
     }
     member_t self = {.incarnation = (uint64_t)time_wall_ms()};
     str_copy(self.name, sizeof(self.name), relay->settings.name);
     str_copy(self.dc, sizeof(self.dc), relay->settings.dc);
-    str_copy(self.peer, sizeof(self.peer), relay->settings.peer);
+    str_copy(self.peer, sizeof(self.peer), relay->settings.peer_addr);
     /* Where other daemons can ask: see object_cache_answer. */
-    str_copy(self.http, sizeof(self.http), relay->settings.metrics);
+    str_copy(self.http, sizeof(self.http), relay->settings.metrics_addr);
     peers_t *peers = mem_zalloc(sizeof(*peers));
     peers->relay = relay;
     peers->fd = fd;
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -107,7 +107,8 @@
 stop_step(relay_t *relay)
 {
     int64_t since = time_mono_ms() - relay->stopping_ms;
-    int64_t last = (int64_t)(relay->settings.stop_s * 1000) - END_MARGIN_MS;
+    int64_t last =
+        (int64_t)(relay->settings.stop_timeout_s * 1000) - END_MARGIN_MS;
     if (relay_shut(relay) || since >= last) {
         http_door_shut(relay->door);
     }
@@ -171,8 +172,8 @@
         return;
     }
     relay->settings.objective = fresh.objective;
-    relay->settings.stop_s = fresh.stop_s;
-    relay->settings.weights_ms = fresh.weights_ms;
+    relay->settings.stop_timeout_s = fresh.stop_timeout_s;
+    relay->settings.old_weights_max_ms = fresh.old_weights_max_ms;
     log_setup(relay->settings.name, (log_level_t)fresh.log_level);
     log_record(LOG_INFO, "daemon", "reloaded", "file=%s", relay->path);
 }
@@ -239,7 +240,8 @@
     }
     log_record(LOG_INFO, "daemon", "started",
                "version=%s dc=%s http=%s ready=%s store=%s", CS_VERSION,
-               settings->dc, settings->http, settings->ready, settings->store);
+               settings->dc, settings->http_addr, settings->ready_addr,
+               settings->store_addr);
     discovery_start(relay);
     relay->rollout = rollout_new(relay);
     relay->cache_follows = cache_follows_new(relay);
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -51,7 +51,8 @@
         return true;
     }
     return weights_older_ms(newest, server->info.weights, time_wall_ms()) <
-           (int64_t)(OLD_WEIGHTS_PART * request->relay->settings.weights_ms);
+           (int64_t)(OLD_WEIGHTS_PART *
+                     request->relay->settings.old_weights_max_ms);
 }
 
 static bool
--- a/relay/request.c
+++ b/relay/request.c
@@ -259,8 +259,9 @@
                         : NULL;
     return newest != NULL && request->phase == REQUEST_SENT &&
            request->exchange != NULL && request->answer == ANSWER_NONE &&
-           weights_expired(newest, request->weights, time_wall_ms(),
-                           (int64_t)request->relay->settings.weights_ms);
+           weights_expired(
+               newest, request->weights, time_wall_ms(),
+               (int64_t)request->relay->settings.old_weights_max_ms);
 }
 
 /* A request that waits for any server to be there goes on when one is, or is
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -153,7 +153,7 @@
 lease_call(rollout_t *rollout, lease_step_t step)
 {
     relay_t *relay = rollout->relay;
-    const char *addr = relay->settings.store;
+    const char *addr = relay->settings.store_addr;
     lease_t *lease = &rollout->lease;
     CLEAN_BUF buf_t head = {0};
     lease_asked(lease, step, time_boot_ms());
@@ -443,7 +443,7 @@
     rollout_t *rollout = mem_zalloc(sizeof(*rollout));
     char self[LEASE_HOLDER_MAX];
     (void)snprintf(self, sizeof(self), "%s/%s/%08llx", relay->settings.name,
-                   relay->settings.http,
+                   relay->settings.http_addr,
                    (unsigned long long)(rng_next(&relay->rng) & 0xffffffffu));
     rollout->relay = relay;
     CK_LIST_INIT(&rollout->jobs);
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -116,7 +116,7 @@
     int64_t before_ms =
         relay->weights_listed
             ? 0
-            : (int64_t)relay->settings.weights_ms / UNKNOWN_PART;
+            : (int64_t)relay->settings.old_weights_max_ms / UNKNOWN_PART;
     weights_put(relay, model, version, wall_ms - before_ms, before_ms > 0);
 }
 
--- a/tests/test-command.c
+++ b/tests/test-command.c
@@ -3,12 +3,13 @@
 
 #include <string.h>
 
-static command_ask_t
+static command_context_t
 ask_of(char *line)
 {
-    command_ask_t ask = {.line = line, .if_generation = -1};
-    ask.count = command_split(line, ask.words, COMMAND_WORDS_MAX, &ask.err);
-    return ask;
+    command_context_t context = {.line = line, .if_generation = -1};
+    context.word_count =
+        command_split(line, context.words, COMMAND_WORDS_MAX, &context.err);
+    return context;
 }
 
 static json_t *
@@ -27,20 +28,20 @@
     size_t i;
     const json_t *row;
     str_copy(line, sizeof(line), text);
-    command_ask_t ask = ask_of(line);
+    command_context_t context = ask_of(line);
     json_t *list = rows();
-    if (query_apply(&ask, 0, &list) != 0) {
-        (void)snprintf(out, sizeof(out), "%zu: %s", ask.bad_word,
-                       ask.err.text);
+    if (command_query_apply(&context, 0, &list) != 0) {
+        (void)snprintf(out, sizeof(out), "%zu: %s", context.error_word,
+                       context.err.text);
         return out;
     }
     out[0] = '\0';
-    json_array_foreach (json_object_get(ask.result, "rows"), i, row) {
+    json_array_foreach (json_object_get(context.result, "rows"), i, row) {
         size_t len = strlen(out);
         (void)snprintf(out + len, sizeof(out) - len, "%s",
                        json_text(row, "name"));
     }
-    json_decref(ask.result);
+    json_decref(context.result);
     return out;
 }
 
@@ -69,12 +70,12 @@
 START_TEST(quotes_keep_blanks)
 {
     char line[] = "set  model 'a b' x=\"1 2\"";
-    command_ask_t ask = ask_of(line);
-    ck_assert_uint_eq(ask.count, 4);
-    ck_assert_str_eq(ask.words[2], "a b");
-    ck_assert_str_eq(ask.words[3], "x=1 2");
+    command_context_t context = ask_of(line);
+    ck_assert_uint_eq(context.word_count, 4);
+    ck_assert_str_eq(context.words[2], "a b");
+    ck_assert_str_eq(context.words[3], "x=1 2");
     char open[] = "say 'a b";
-    command_ask_t bad = ask_of(open);
+    command_context_t bad = ask_of(open);
     ck_assert_int_eq(bad.err.layer, ERR_COMMAND);
 }
 END_TEST
@@ -82,8 +83,8 @@
 START_TEST(fields_are_typed_and_keys_are_hashed)
 {
     char line[] = "a=1 b=true c=x version=2 key=geheim";
-    command_ask_t ask = ask_of(line);
-    CLEAN_JSON json_t *fields = command_fields(&ask, 0);
+    command_context_t context = ask_of(line);
+    CLEAN_JSON json_t *fields = command_fields(&context, 0);
     ck_assert(json_is_integer(json_object_get(fields, "a")));
     ck_assert(json_is_true(json_object_get(fields, "b")));
     ck_assert_str_eq(json_text(fields, "c"), "x");
@@ -91,9 +92,9 @@
     ck_assert_ptr_null(json_object_get(fields, "key"));
     ck_assert_uint_eq(strlen(json_text(fields, "key_hash")), KEY_HASH_LEN);
     char twice[] = "a=1 a=2";
-    command_ask_t bad = ask_of(twice);
+    command_context_t bad = ask_of(twice);
     ck_assert_ptr_null(command_fields(&bad, 0));
-    ck_assert_uint_eq(bad.bad_word, 1);
+    ck_assert_uint_eq(bad.error_word, 1);
 }
 END_TEST
 
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -306,7 +306,7 @@
     str_copy(request.prompt.model, sizeof(request.prompt.model), "m");
     request.prompt.count = 1;
     request.prompt.prompt_tokens = 100;
-    relay->settings.weights_ms = 60000;
+    relay->settings.old_weights_max_ms = 60000;
     weights_note(relay, "m", 2, time_wall_ms());
     for (size_t i = 0; i < ENGINES; i++) {
         fleet->servers[0][i]->error_share = 0.5;
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -17,7 +17,7 @@
     static char out[4096];
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
-    (void)settings_read_text(&settings, "f.ini", text, &problems);
+    (void)settings_parse(&settings, "f.ini", text, &problems);
     str_copy(out, sizeof(out), buf_text(&problems));
     return out;
 }
@@ -34,7 +34,7 @@
 {
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
-    int status = settings_read_text(&settings, "f.ini", good, &problems);
+    int status = settings_parse(&settings, "f.ini", good, &problems);
     ck_assert_str_eq(buf_text(&problems), "");
     ck_assert_int_eq(status, 0);
     ck_assert_str_eq(settings.name, "router-1");
@@ -207,16 +207,16 @@
 {
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
-    (void)settings_read_text(&settings, "f",
-                             template_with(platform_values, PLATFORM_VALUES),
-                             &problems);
+    (void)settings_parse(&settings, "f",
+                         template_with(platform_values, PLATFORM_VALUES),
+                         &problems);
     ck_assert_str_eq(buf_text(&problems), "");
-    ck_assert_double_eq(settings.stop_s, 8.5);
+    ck_assert_double_eq(settings.stop_timeout_s, 8.5);
     ck_assert_double_eq(settings.retry_ratio, 0.125);
     ck_assert_double_eq(settings.retry_slack, 35.833333333333336);
     ck_assert_double_eq(settings.retry_window_s, 10.25);
     ck_assert_double_eq(settings.lease_ms, 3000.5);
-    ck_assert_double_eq(settings.weights_ms, 10000);
+    ck_assert_double_eq(settings.old_weights_max_ms, 10000);
     ck_assert_double_eq(settings.quota_window_s, 8.5);
     ck_assert_double_eq(settings.quota_overage, 0.1);
     ck_assert_double_eq(settings.quota_slack, 140000);
@@ -236,8 +236,8 @@
             values[count++] = platform_values[i];
         }
     }
-    (void)settings_read_text(&settings, "f", template_with(values, count),
-                             &problems);
+    (void)settings_parse(&settings, "f", template_with(values, count),
+                         &problems);
     ck_assert_str_eq(buf_text(&problems), "");
     ck_assert_double_eq(settings.quota_slack, 0);
 }
@@ -259,9 +259,9 @@
                 values[at].value = bad[i];
             }
         }
-        (void)settings_read_text(&settings, "f.ini",
-                                 template_with(values, PLATFORM_VALUES),
-                                 &problems);
+        (void)settings_parse(&settings, "f.ini",
+                             template_with(values, PLATFORM_VALUES),
+                             &problems);
         static const char *const keys[] = {
             "stop_s",         "retry_ratio",   "retry_slack",
             "retry_window_s", "lease_ms",      "weights_ms",
@@ -293,7 +293,7 @@
             text[rng_below(&rng, len)] = (char)(1 + rng_below(&rng, 255));
         }
         text[rng_below(&rng, len) + 1] = '\0';
-        int status = settings_read_text(&settings, "f", text, &problems);
+        int status = settings_parse(&settings, "f", text, &problems);
         ck_assert_int_eq(status == 0, problems.len == 0);
     }
 }
--- a/tests/test-weights.c
+++ b/tests/test-weights.c
@@ -9,7 +9,7 @@
 relay_of(bool listed)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
-    relay->settings.weights_ms = WEIGHTS_MS;
+    relay->settings.old_weights_max_ms = WEIGHTS_MS;
     relay->weights_listed = listed;
     log_setup("test", LOG_ERROR);
     return relay;
@@ -96,7 +96,7 @@
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->weights_listed = true;
-    relay->settings.weights_ms = 10000;
+    relay->settings.old_weights_max_ms = 10000;
     weights_observe(relay, "m1", 1, 1000);
     weights_observe(relay, "m1", 2, 20000);
     const weights_t *weights = relay_weights(relay, "m1");
