--- a/kernel/admin.c
+++ b/kernel/admin.c
@@ -3,23 +3,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The administration API.  What it serves goes to a worker, since commands
- * may wait for the platform. */
+/* The administration API.  Commands run on a worker thread, since they may
+ * wait for the platform. */
 
 #define ROOT_OPERATOR "root"
 
 typedef struct {
     celeryspoold_t *daemon;
     http_req_t *req;
-    char who[CS_NAME_MAX];
+    char operator_name[CS_NAME_MAX];
     char *line;
     int64_t if_generation;
-} job_t;
+} command_job_t;
 
-/* Who an operator's key stands for; operators' keys are apart from callers'.
- */
+/* Set the name of the operator that the request's bearer key belongs to.  Keys
+ * of callers are not accepted. */
 static bool
-authenticate(celeryspoold_t *daemon, http_req_t *req, char who[CS_NAME_MAX])
+authenticate(celeryspoold_t *daemon, http_req_t *req,
+             char operator_name[CS_NAME_MAX])
 {
     static const char scheme[] = "Bearer ";
     const char *header = http_req_header(req, "Authorization");
@@ -27,30 +28,30 @@
         return false;
     }
     char hash[KEY_HASH_LEN + 1];
-    char root[KEY_HASH_LEN + 1];
+    char root_hash[KEY_HASH_LEN + 1];
     config_hash_key(header + sizeof(scheme) - 1, hash);
-    config_hash_key(daemon->settings.operator_key, root);
-    if (strcmp(hash, root) == 0) {
-        str_copy(who, CS_NAME_MAX, ROOT_OPERATOR);
+    config_hash_key(daemon->settings.operator_key, root_hash);
+    if (strcmp(hash, root_hash) == 0) {
+        str_copy(operator_name, CS_NAME_MAX, ROOT_OPERATOR);
         return true;
     }
     config_t *config = daemon_config(daemon);
     const operator_t *found = config_find_operator_by_key(config, hash);
     if (found != NULL) {
-        str_copy(who, CS_NAME_MAX, found->name);
+        str_copy(operator_name, CS_NAME_MAX, found->name);
     }
     config_release(config);
     return found != NULL;
 }
 
 static void
-run_job(void *arg)
+run_command_job(void *arg)
 {
-    job_t *job = arg;
+    command_job_t *job = arg;
     CLEAN_JSON json_t *reply = NULL;
     int status = 500;
-    (void)command_run(job->daemon, job->who, job->line, job->if_generation,
-                      &reply, &status);
+    (void)command_run(job->daemon, job->operator_name, job->line,
+                      job->if_generation, &reply, &status);
     http_req_reply_json(job->req, status, reply);
     http_req_release(job->req);
     free(job->line);
@@ -58,22 +59,24 @@
 }
 
 static void
-submit(celeryspoold_t *daemon, http_req_t *req, const char *who,
-       const char *line, int64_t if_generation)
+submit_command(celeryspoold_t *daemon, http_req_t *req,
+               const char *operator_name, const char *line,
+               int64_t if_generation)
 {
-    job_t *job = mem_zalloc(sizeof(*job));
+    command_job_t *job = mem_zalloc(sizeof(*job));
     http_req_hold(req);
     job->daemon = daemon;
     job->req = req;
     job->line = strdup(line);
     job->if_generation = if_generation;
-    str_copy(job->who, sizeof(job->who), who);
-    pool_submit(daemon->pool, run_job, job);
+    str_copy(job->operator_name, sizeof(job->operator_name), operator_name);
+    pool_submit(daemon->pool, run_command_job, job);
 }
 
 /* POST /admin/v1/command {"line": "…", "if_generation": N} */
 static void
-handle_command(celeryspoold_t *daemon, http_req_t *req, const char *who)
+handle_command(celeryspoold_t *daemon, http_req_t *req,
+               const char *operator_name)
 {
     size_t len;
     const char *text = http_req_body(req, &len);
@@ -81,13 +84,14 @@
     const char *line = json_text(body, "line");
     if (line == NULL) {
         http_req_reply_error(req, 400, "bad_request",
-                             "the body needs a text field line");
+                             "the body needs a string field line");
         return;
     }
-    submit(daemon, req, who, line, json_int(body, "if_generation", -1));
+    submit_command(daemon, req, operator_name, line,
+                   json_int(body, "if_generation", -1));
 }
 
-/* GET /admin/v1/config gives the whole document in force. */
+/* GET /admin/v1/config returns the current document. */
 static void
 handle_config(celeryspoold_t *daemon, http_req_t *req)
 {
@@ -96,7 +100,8 @@
     config_release(config);
 }
 
-/* GET /admin/v1/events?request=&backend= gives the newest events here. */
+/* GET /admin/v1/events?request=&backend= returns this daemon's newest
+ * events. */
 static void
 handle_events(http_req_t *req)
 {
@@ -105,21 +110,21 @@
     http_req_reply_json(req, 200, events);
 }
 
-/* Serve a path below /admin/v1. */
+/* Handle a request below /admin/v1. */
 void
 admin_handle(celeryspoold_t *daemon, http_req_t *req)
 {
-    char who[CS_NAME_MAX];
+    char operator_name[CS_NAME_MAX];
     const char *path = http_req_path(req);
     const char *method = http_req_method(req);
-    if (!authenticate(daemon, req, who)) {
+    if (!authenticate(daemon, req, operator_name)) {
         http_req_reply_error(req, 401, "not_an_operator",
-                             "an operator's bearer key is needed");
+                             "an operator's bearer key is required");
         return;
     }
     if (strcmp(path, "/admin/v1/command") == 0 &&
         strcmp(method, "POST") == 0) {
-        handle_command(daemon, req, who);
+        handle_command(daemon, req, operator_name);
     }
     else if (strcmp(path, "/admin/v1/config") == 0 &&
              strcmp(method, "GET") == 0) {
--- a/kernel/config-change.c
+++ b/kernel/config-change.c
@@ -2,20 +2,21 @@
 
 #include <string.h>
 
-/* Changes to the configuration as functions from document to document. */
+/* Changes to the configuration document.  A change is applied to a copy; the
+ * document itself is left as it was. */
 
 static const char *const sections[] = {"workspaces", "models",  "services",
                                        "backends",   "windows", "operators"};
 
-/* The section that a word names, in the singular or plural, or NULL. */
+/* Find a section by its name in the singular or plural; NULL if unknown. */
 const char *
-config_find_section(const char *word)
+config_find_section(const char *name)
 {
     for (size_t i = 0; i < sizeof(sections) / sizeof(sections[0]); i++) {
         size_t len = strlen(sections[i]);
-        if (strcmp(word, sections[i]) == 0 ||
-            (strlen(word) == len - 1 &&
-             strncmp(word, sections[i], len - 1) == 0)) {
+        if (strcmp(name, sections[i]) == 0 ||
+            (strlen(name) == len - 1 &&
+             strncmp(name, sections[i], len - 1) == 0)) {
             return sections[i];
         }
     }
@@ -30,7 +31,7 @@
         case CHANGE_DECLARE:
             if (old != NULL) {
                 return err_set(err, ERR_CONFIG, 409,
-                               "%s %s is declared already; use set",
+                               "%s %s is already declared; use set",
                                change->section, change->name);
             }
             return json_object_set(section, change->name, change->fields);
@@ -50,7 +51,8 @@
     return -1;
 }
 
-/* A copy of the document with one change, checked whole. */
+/* Apply a change to a copy of the document and validate the result as a whole.
+ * Returns NULL on failure. */
 json_t *
 config_change_apply(const json_t *doc, const change_t *change, err_t *err)
 {
@@ -72,98 +74,100 @@
     return copy;
 }
 
-/* Give a changed document its next generation and its audit line.  The
- * change's id tells its author, when the store's answer was lost, whether
- * the change was accepted. */
+/* Give a changed document its next generation and add an audit entry.  The
+ * entry holds the change's id: when the store's answer to the write is lost,
+ * the id shows whether the change was accepted. */
 json_t *
-config_change_record(json_t *doc, const char *id, const char *who,
-                     const char *what)
+config_change_record(json_t *doc, const char *id, const char *operator_name,
+                     const char *description)
 {
     int64_t from = json_int(doc, "generation", 0);
     json_t *changes = json_object_get(doc, "changes");
     (void)json_object_set_new(doc, "generation", json_integer(from + 1));
     (void)json_array_append_new(
-        changes,
-        json_pack("{s:s,s:s,s:s,s:I,s:I,s:I}", "id", id, "who", who, "what",
-                  what, "from", (json_int_t)from, "to", (json_int_t)(from + 1),
-                  "at_ms", (json_int_t)time_wall_ms()));
+        changes, json_pack("{s:s,s:s,s:s,s:I,s:I,s:I}", "id", id, "who",
+                           operator_name, "what", description, "from",
+                           (json_int_t)from, "to", (json_int_t)(from + 1),
+                           "at_ms", (json_int_t)time_wall_ms()));
     while (json_array_size(changes) > CONFIG_CHANGES_MAX) {
         (void)json_array_remove(changes, 0);
     }
     return doc;
 }
 
-/* Whether a change is in the document, and the generation that it made. */
+/* Whether the document contains a change; sets the generation it created. */
 bool
 config_has_change(const json_t *doc, const char *id, int64_t *generation)
 {
     size_t i;
-    const json_t *change;
-    json_array_foreach (json_object_get(doc, "changes"), i, change) {
-        const char *have = json_text(change, "id");
-        if (have != NULL && strcmp(have, id) == 0) {
-            *generation = json_int(change, "to", 0);
+    const json_t *entry;
+    json_array_foreach (json_object_get(doc, "changes"), i, entry) {
+        const char *recorded_id = json_text(entry, "id");
+        if (recorded_id != NULL && strcmp(recorded_id, id) == 0) {
+            *generation = json_int(entry, "to", 0);
             return true;
         }
     }
     return false;
 }
 
-/* Replicas of a model or service that would be open at a wall time. */
+/* Count the backend servers of a model or service that would be available at a
+ * wall time. */
 static size_t
-open_at(const config_t *config, const char *serves, int64_t when_ms)
+count_available(const config_t *config, const char *serves, int64_t at_ms)
 {
-    size_t open = 0;
+    size_t count = 0;
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
-        open += strcmp(backend->serves, serves) == 0 &&
-                config_backend_availability(config, backend, when_ms) ==
-                    AVAILABILITY_OPEN;
+        count += strcmp(backend->serves, serves) == 0 &&
+                 config_backend_availability(config, backend, at_ms) ==
+                     AVAILABILITY_OPEN;
     }
-    return open;
+    return count;
 }
 
 static void
 warn_window(const config_t *config, const window_t *window, int64_t now_ms,
-            json_t *out)
+            json_t *warnings)
 {
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
-        bool covered = window->kind == WINDOW_DC
+        bool applies = window->kind == WINDOW_DC
                            ? strcmp(window->target, backend->dc) == 0
                            : strcmp(window->target, backend->name) == 0;
-        int lead = config_window_lead_ms(config, backend);
-        if (!covered || window->kind == WINDOW_HOST) {
+        int lead_ms = config_window_lead_ms(config, backend);
+        if (!applies || window->kind == WINDOW_HOST) {
             continue;
         }
-        if (now_ms > window->begin_ms - lead && now_ms < window->begin_ms) {
+        if (now_ms > window->begin_ms - lead_ms && now_ms < window->begin_ms) {
             (void)json_array_append_new(
-                out,
-                json_sprintf("window %s: notice is %lld ms short of the "
-                             "longest stream on %s; streams that are longer "
-                             "would be moved or cut",
+                warnings,
+                json_sprintf("window %s: notice is %lld ms shorter than the "
+                             "longest stream on %s; streams still running "
+                             "then would be moved or cut",
                              window->name,
-                             (long long)(now_ms - window->begin_ms + lead),
+                             (long long)(now_ms - window->begin_ms + lead_ms),
                              backend->name));
         }
-        if (open_at(config, backend->serves, window->begin_ms) == 0) {
+        if (count_available(config, backend->serves, window->begin_ms) == 0) {
             (void)json_array_append_new(
-                out, json_sprintf("window %s: no server of %s is left open; "
-                                  "its requests would be refused",
-                                  window->name, backend->serves));
+                warnings,
+                json_sprintf("window %s: no server of %s stays available; "
+                             "its requests would be rejected",
+                             window->name, backend->serves));
             return;
         }
     }
 }
 
-/* What the windows of a configuration would lose, for the operator who
- * declares them. */
+/* List the requests that maintenance windows would interrupt or reject, as
+ * warnings to the operator who declares the windows. */
 void
-config_list_warnings(const config_t *config, int64_t now_ms, json_t *out)
+config_list_warnings(const config_t *config, int64_t now_ms, json_t *warnings)
 {
     for (size_t i = 0; i < config->window_count; i++) {
         if (config->windows[i].end_ms > now_ms) {
-            warn_window(config, &config->windows[i], now_ms, out);
+            warn_window(config, &config->windows[i], now_ms, warnings);
         }
     }
 }
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -3,16 +3,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How the configuration reaches this daemon and how a change is accepted.
- * Generations only grow here: from the store or from any peer, an older or
- * equal one is ignored, so a late or stale reading takes nothing back. */
+/* Adopts configurations from the store and from peers, and commits changes.
+ * Only a generation higher than the current one is adopted, whatever its
+ * source, so a late or stale read never reverts a change. */
 
-#define WATCH_MS 4000
-#define RETRY_MS 300
-#define COMMIT_TRIES 12
-#define COMMIT_STEP_MS 150
+#define WATCH_TIMEOUT_MS 4000
+#define WATCH_RETRY_MS 300
+#define COMMIT_ATTEMPTS_MAX 12
+#define COMMIT_RETRY_MS 150
 
-/* The configuration in force; the caller releases it. */
+/* The current configuration; the caller releases it. */
 config_t *
 daemon_config(celeryspoold_t *daemon)
 {
@@ -21,110 +21,111 @@
 }
 
 static bool
-swap_if_newer(celeryspoold_t *daemon, config_t *fresh, int64_t version)
+replace_if_newer(celeryspoold_t *daemon, config_t *candidate, int64_t version)
 {
     LOCK_SCOPE(&daemon->config_lock);
     daemon->config_heard_ms = time_mono_ms();
     if (version > daemon->config_version) {
         daemon->config_version = version;
     }
-    if (fresh->generation <= daemon->config->generation) {
+    if (candidate->generation <= daemon->config->generation) {
         return false;
     }
     config_release(daemon->config);
-    daemon->config = config_hold(fresh);
+    daemon->config = config_hold(candidate);
     return true;
 }
 
-/* Adopt a document if its generation is higher than the one in force.  A
- * version is that of the store's object, or 0 from a peer. */
+/* Adopt a document if its generation is higher than the current one.  The
+ * version is that of the object in the store, or 0 if the document is from a
+ * peer. */
 bool
 config_sync_adopt(celeryspoold_t *daemon, json_t *doc, int64_t version,
                   const char *source)
 {
     err_t err = {0};
-    config_t *fresh = config_parse(doc, &err);
-    if (fresh == NULL) {
-        log_error("config", "The configuration from %s is bad: %s.", source,
-                  err.text);
+    config_t *candidate = config_parse(doc, &err);
+    if (candidate == NULL) {
+        log_error("config", "The configuration from %s is invalid: %s.",
+                  source, err.text);
         return false;
     }
-    bool adopted = swap_if_newer(daemon, fresh, version);
+    bool adopted = replace_if_newer(daemon, candidate, version);
     if (adopted) {
         char detail[96];
         (void)snprintf(detail, sizeof(detail), "generation %lld from %s",
-                       (long long)fresh->generation, source);
-        log_info("config", "Generation %lld is in force, from %s.",
-                 (long long)fresh->generation, source);
+                       (long long)candidate->generation, source);
+        log_info("config", "Configuration generation %lld from %s adopted.",
+                 (long long)candidate->generation, source);
         event_emit(&(event_t){.kind = "config-adopted", .detail = detail});
     }
-    config_release(fresh);
+    config_release(candidate);
     return adopted;
 }
 
 static void
-heard(celeryspoold_t *daemon)
+mark_confirmed(celeryspoold_t *daemon)
 {
     LOCK_SCOPE(&daemon->config_lock);
     daemon->config_heard_ms = time_mono_ms();
 }
 
 static void
-watch_once(celeryspoold_t *daemon)
+watch_store(celeryspoold_t *daemon)
 {
     CLEAN_JSON json_t *doc = NULL;
     int64_t version = 0;
     (void)pthread_mutex_lock(&daemon->config_lock);
     int64_t after = daemon->config_version;
     (void)pthread_mutex_unlock(&daemon->config_lock);
-    store_result_t result = store_watch_wait(daemon->store, CONFIG_OBJECT,
-                                             after, WATCH_MS, &version, &doc);
+    store_result_t result = store_watch_wait(
+        daemon->store, CONFIG_OBJECT, after, WATCH_TIMEOUT_MS, &version, &doc);
     switch (result) {
         case STORE_OK:
             (void)config_sync_adopt(daemon, doc, version, "the store");
             return;
         case STORE_ABSENT:
-            heard(daemon);
+            mark_confirmed(daemon);
             return;
         case STORE_CONFLICT:
         case STORE_REFUSED:
         case STORE_LOST:
-            log_debug("config", "The watch ended: %s.",
+            log_debug("config", "The watch on the configuration failed: %s.",
                       store_result_word(result));
-            time_sleep_ms(RETRY_MS);
+            time_sleep_ms(WATCH_RETRY_MS);
             return;
     }
 }
 
-/* The thread that watches the store's object. */
+/* The thread that watches the configuration in the store. */
 void *
 config_sync_run(void *arg)
 {
     celeryspoold_t *daemon = arg;
     while (!__atomic_load_n(&daemon->stopping, __ATOMIC_ACQUIRE)) {
-        watch_once(daemon);
+        watch_store(daemon);
     }
     return NULL;
 }
 
-/* One attempt to commit a change. */
-typedef enum { COMMIT_ACCEPTED, COMMIT_AGAIN, COMMIT_FAILED } commit_step_t;
+/* The outcome of one attempt to commit a change. */
+typedef enum { COMMIT_ACCEPTED, COMMIT_RETRY, COMMIT_FAILED } commit_outcome_t;
 
 typedef struct {
     celeryspoold_t *daemon;
     const change_t *change;
-    const char *who;
-    const char *what;
+    const char *operator_name;
+    const char *description;
     int64_t if_generation;
     char id[CS_ID_LEN + 1];
-    bool maybe; /* a write whose answer was lost may have been accepted */
+    bool may_be_accepted; /* set when the answer to a write was lost */
     json_t *doc;
     int64_t version;
     int64_t generation;
 } commit_t;
 
 static int
-read_current(commit_t *commit)
+read_document(commit_t *commit)
 {
     json_decref(commit->doc);
     commit->doc = NULL;
@@ -154,7 +155,7 @@
                      "changed_since", changes);
 }
 
-static commit_step_t
+static commit_outcome_t
 write_change(commit_t *commit, err_t *err)
 {
     json_t *next = config_change_apply(commit->doc, commit->change, err);
@@ -162,13 +163,14 @@
         return COMMIT_FAILED;
     }
     int64_t version = 0;
-    next = config_change_record(next, commit->id, commit->who, commit->what);
+    next = config_change_record(next, commit->id, commit->operator_name,
+                                commit->description);
     size_t size = json_dumpb(next, NULL, 0, JSON_COMPACT);
     if (size > STORE_VALUE_MAX) {
         json_decref(next);
         (void)err_set(err, ERR_CONFIG, 413,
-                      "the configuration would have %zu bytes; the platform "
-                      "holds %d",
+                      "the configuration would have %zu bytes; the platform's "
+                      "limit is %d",
                       size, STORE_VALUE_MAX);
         return COMMIT_FAILED;
     }
@@ -183,36 +185,37 @@
         case STORE_OK:
             return COMMIT_ACCEPTED;
         case STORE_LOST:
-            commit->maybe = true;
-            return COMMIT_AGAIN;
+            commit->may_be_accepted = true;
+            return COMMIT_RETRY;
         case STORE_CONFLICT:
         case STORE_REFUSED:
         case STORE_ABSENT:
-            return COMMIT_AGAIN;
+            return COMMIT_RETRY;
     }
-    return COMMIT_AGAIN;
+    return COMMIT_RETRY;
 }
 
-/* Read, and first look for the change itself: a lost answer may have hidden
- * that it was accepted.  If it is not there, writing it again over the
- * version that was read is safe, because the two writes fence each other. */
-static commit_step_t
-commit_step(commit_t *commit, json_t **result, err_t *err)
+/* Make one attempt.  The document is read first and searched for the change:
+ * an earlier write may have been accepted although its answer was lost.  If
+ * the change is not there, writing it again is safe: both writes are
+ * conditional on the object's version, so at most one of them succeeds. */
+static commit_outcome_t
+commit_attempt(commit_t *commit, json_t **result, err_t *err)
 {
-    if (read_current(commit) != 0) {
-        return COMMIT_AGAIN;
+    if (read_document(commit) != 0) {
+        return COMMIT_RETRY;
     }
     if (config_has_change(commit->doc, commit->id, &commit->generation)) {
         (void)config_sync_adopt(commit->daemon, commit->doc, commit->version,
                                 "a command");
         return COMMIT_ACCEPTED;
     }
-    int64_t have = json_int(commit->doc, "generation", 0);
-    if (commit->if_generation >= 0 && commit->if_generation != have) {
+    int64_t current = json_int(commit->doc, "generation", 0);
+    if (commit->if_generation >= 0 && commit->if_generation != current) {
         *result = conflict_result(commit);
         (void)err_set(err, ERR_CONFIG, 409,
-                      "generation %lld is in force, not %lld", (long long)have,
-                      (long long)commit->if_generation);
+                      "the current generation is %lld, not %lld",
+                      (long long)current, (long long)commit->if_generation);
         return COMMIT_FAILED;
     }
     return write_change(commit, err);
@@ -230,9 +233,10 @@
                      "warnings", warnings);
 }
 
-/* Commit a change to the platform and tell what came of it: accepted with
- * its generation; refused, with the generation that won and what changed;
- * or not known, when the store could not be read back.  Blocks. */
+/* Commit a change to the store and report its outcome: accepted, with its
+ * generation; rejected, on a conflict with the current generation and the
+ * changes since; or unknown, when the answer to a write was lost and the store
+ * could not be read again.  Blocks. */
 int
 config_sync_commit(celeryspoold_t *daemon, const change_t *change,
                    const char *who, const char *what, int64_t if_generation,
@@ -240,19 +244,19 @@
 {
     commit_t commit = {.daemon = daemon,
                        .change = change,
-                       .who = who,
-                       .what = what,
+                       .operator_name = who,
+                       .description = what,
                        .if_generation = if_generation};
-    commit_step_t step = COMMIT_AGAIN;
+    commit_outcome_t outcome = COMMIT_RETRY;
     id_random(commit.id);
-    for (int i = 0; i < COMMIT_TRIES && step == COMMIT_AGAIN; i++) {
+    for (int i = 0; i < COMMIT_ATTEMPTS_MAX && outcome == COMMIT_RETRY; i++) {
         if (i > 0) {
-            time_sleep_ms(COMMIT_STEP_MS);
+            time_sleep_ms(COMMIT_RETRY_MS);
         }
-        step = commit_step(&commit, result, err);
+        outcome = commit_attempt(&commit, result, err);
     }
     json_decref(commit.doc);
-    switch (step) {
+    switch (outcome) {
         case COMMIT_ACCEPTED:
             *result = accepted_result(&commit);
             log_info("audit", "%s: %s, generation %lld to %lld.", who, what,
@@ -261,14 +265,17 @@
             return 0;
         case COMMIT_FAILED:
             return -1;
-        case COMMIT_AGAIN:
+        case COMMIT_RETRY:
             break;
     }
-    return commit.maybe
-               ? err_set(err, ERR_CONFIG, 504,
-                         "the store's answer was lost and it cannot be read; "
-                         "the change may be in force: look before repeating")
-               : err_set(err, ERR_CONFIG, 503,
-                         "the store cannot be reached; the change was not "
-                         "accepted");
+    return commit.may_be_accepted
+               ? err_set(
+                     err, ERR_CONFIG, 504,
+                     "the store's answer was lost and the store could not be "
+                     "read again; the change may have been accepted: check "
+                     "before repeating it")
+               : err_set(
+                     err, ERR_CONFIG, 503,
+                     "the store could not be read or written; the change was "
+                     "not accepted");
 }
--- a/kernel/config.c
+++ b/kernel/config.c
@@ -4,12 +4,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LONGEST_DEFAULT_S 60
+#define DURATION_MAX_DEFAULT_S 60
 #define SHARE_MAX 1000
 #define PRIORITY_MAX 100
-#define LOADS_DEFAULT 2
+#define CONCURRENT_LOADS_DEFAULT 2
 
-/* The document before the first change. */
+/* The document before the first change, with generation 0. */
 json_t *
 config_empty(void)
 {
@@ -19,7 +19,7 @@
                      "operators", "changes");
 }
 
-/* The hash under which a bearer key is kept. */
+/* Hash a bearer key; the configuration holds only the hash. */
 void
 config_hash_key(const char *key, char out[KEY_HASH_LEN + 1])
 {
@@ -29,7 +29,7 @@
     (void)sodium_bin2hex(out, KEY_HASH_LEN + 1, raw, sizeof(raw));
 }
 
-/* What reading one object of a section has to go on. */
+/* One object of a section while it is read; errors go to err. */
 typedef struct {
     const char *section;
     const char *name;
@@ -38,16 +38,16 @@
 } item_t;
 
 static int
-item_error(const item_t *item, const char *key, const char *allowed)
+item_set_error(const item_t *item, const char *key, const char *allowed)
 {
     return err_set(item->err, ERR_CONFIG, 400,
-                   "%s %s: field %s is not allowed so; allowed: %s",
-                   item->section, item->name, key, allowed);
+                   "%s %s: field %s is invalid; expected: %s", item->section,
+                   item->name, key, allowed);
 }
 
 static int
-item_text(const item_t *item, const char *key, bool required, char *out,
-          size_t size)
+item_read_text(const item_t *item, const char *key, bool required, char *out,
+               size_t size)
 {
     const json_t *value = json_object_get(item->fields, key);
     if (value == NULL && !required) {
@@ -55,15 +55,16 @@
     }
     const char *text = json_string_value(value);
     if (text == NULL || text[0] == '\0' || strlen(text) >= size) {
-        return item_error(item, key, "a text");
+        return item_set_error(item, key,
+                              "a non-empty text that is not too long");
     }
     str_copy(out, size, text);
     return 0;
 }
 
 static int
-item_int(const item_t *item, const char *key, int fallback, int min, int max,
-         int *out)
+item_read_int(const item_t *item, const char *key, int fallback, int min,
+              int max, int *out)
 {
     const json_t *value = json_object_get(item->fields, key);
     *out = fallback;
@@ -73,50 +74,50 @@
     json_int_t number = json_integer_value(value);
     if (!json_is_integer(value) || number < min || number > max) {
         char allowed[64];
-        (void)snprintf(allowed, sizeof(allowed),
-                       "a whole number from %d to %d", min, max);
-        return item_error(item, key, allowed);
+        (void)snprintf(allowed, sizeof(allowed), "an integer from %d to %d",
+                       min, max);
+        return item_set_error(item, key, allowed);
     }
     *out = (int)number;
     return 0;
 }
 
 static int
-item_flag(const item_t *item, const char *key, bool *out)
+item_read_bool(const item_t *item, const char *key, bool *out)
 {
     const json_t *value = json_object_get(item->fields, key);
     if (value != NULL && !json_is_boolean(value)) {
-        return item_error(item, key, "true or false");
+        return item_set_error(item, key, "true or false");
     }
     *out = json_is_true(value);
     return 0;
 }
 
 static int
-item_time(const item_t *item, const char *key, int64_t *out)
+item_read_time(const item_t *item, const char *key, int64_t *out)
 {
     const json_t *value = json_object_get(item->fields, key);
     if (!json_is_integer(value) || json_integer_value(value) <= 0) {
-        return item_error(item, key, "milliseconds since 1970");
+        return item_set_error(item, key, "a time in milliseconds since 1970");
     }
     *out = json_integer_value(value);
     return 0;
 }
 
 static int
-item_known(const item_t *item, const char *const *allowed)
+item_check_fields(const item_t *item, const char *const *allowed)
 {
     const char *key;
     json_t *value;
     json_object_foreach ((json_t *)item->fields, key, value) {
-        const char *const *word = allowed;
-        while (*word != NULL && strcmp(*word, key) != 0) {
-            word++;
+        const char *const *known = allowed;
+        while (*known != NULL && strcmp(*known, key) != 0) {
+            known++;
         }
-        if (*word == NULL) {
+        if (*known == NULL) {
             CLEAN_BUF buf_t list = {0};
-            for (word = allowed; *word != NULL; word++) {
-                buf_fmt(&list, "%s%s", list.len > 0 ? ", " : "", *word);
+            for (known = allowed; *known != NULL; known++) {
+                buf_fmt(&list, "%s%s", list.len > 0 ? ", " : "", *known);
             }
             return err_set(item->err, ERR_CONFIG, 400,
                            "%s %s: unknown field %s; allowed: %s",
@@ -132,14 +133,15 @@
     workspace_t *workspace = out;
     static const char *const keys[] = {"key_hash", "share", "priority", NULL};
     str_copy(workspace->name, sizeof(workspace->name), item->name);
-    if (item_known(item, keys) != 0 ||
-        item_text(item, "key_hash", true, workspace->key_hash,
-                  sizeof(workspace->key_hash)) != 0 ||
-        item_int(item, "share", 1, 1, SHARE_MAX, &workspace->share) != 0) {
+    if (item_check_fields(item, keys) != 0 ||
+        item_read_text(item, "key_hash", true, workspace->key_hash,
+                       sizeof(workspace->key_hash)) != 0 ||
+        item_read_int(item, "share", 1, 1, SHARE_MAX, &workspace->share) !=
+            0) {
         return -1;
     }
-    return item_int(item, "priority", 0, 0, PRIORITY_MAX,
-                    &workspace->priority);
+    return item_read_int(item, "priority", 0, 0, PRIORITY_MAX,
+                         &workspace->priority);
 }
 
 static int
@@ -148,11 +150,11 @@
     operator_t *op = out;
     static const char *const keys[] = {"key_hash", NULL};
     str_copy(op->name, sizeof(op->name), item->name);
-    if (item_known(item, keys) != 0) {
+    if (item_check_fields(item, keys) != 0) {
         return -1;
     }
-    return item_text(item, "key_hash", true, op->key_hash,
-                     sizeof(op->key_hash));
+    return item_read_text(item, "key_hash", true, op->key_hash,
+                          sizeof(op->key_hash));
 }
 
 static int
@@ -162,15 +164,15 @@
     static const char *const keys[] = {"version", "longest_s", "loads_max",
                                        NULL};
     str_copy(model->name, sizeof(model->name), item->name);
-    if (item_known(item, keys) != 0 ||
-        item_text(item, "version", true, model->version,
-                  sizeof(model->version)) != 0 ||
-        item_int(item, "longest_s", LONGEST_DEFAULT_S, 1, 86400,
-                 &model->duration_max_s) != 0) {
+    if (item_check_fields(item, keys) != 0 ||
+        item_read_text(item, "version", true, model->version,
+                       sizeof(model->version)) != 0 ||
+        item_read_int(item, "longest_s", DURATION_MAX_DEFAULT_S, 1, 86400,
+                      &model->duration_max_s) != 0) {
         return -1;
     }
-    return item_int(item, "loads_max", LOADS_DEFAULT, 1, 100,
-                    &model->concurrent_loads_max);
+    return item_read_int(item, "loads_max", CONCURRENT_LOADS_DEFAULT, 1, 100,
+                         &model->concurrent_loads_max);
 }
 
 static int
@@ -179,12 +181,12 @@
     service_t *service = out;
     static const char *const keys[] = {"idempotent", "longest_s", NULL};
     str_copy(service->name, sizeof(service->name), item->name);
-    if (item_known(item, keys) != 0 ||
-        item_flag(item, "idempotent", &service->idempotent) != 0) {
+    if (item_check_fields(item, keys) != 0 ||
+        item_read_bool(item, "idempotent", &service->idempotent) != 0) {
         return -1;
     }
-    return item_int(item, "longest_s", LONGEST_DEFAULT_S, 1, 86400,
-                    &service->duration_max_s);
+    return item_read_int(item, "longest_s", DURATION_MAX_DEFAULT_S, 1, 86400,
+                         &service->duration_max_s);
 }
 
 static int
@@ -203,7 +205,7 @@
         backend->kind = BACKEND_UNROUTED;
         return 0;
     }
-    return item_error(item, "kind", "engine, service or kept");
+    return item_set_error(item, "kind", "engine, service or kept");
 }
 
 static int
@@ -214,20 +216,22 @@
         "addr",          "dc",    "kind", "serves", "honours_fencing",
         "checks_issuer", "drain", NULL};
     str_copy(backend->name, sizeof(backend->name), item->name);
-    if (item_known(item, keys) != 0 ||
-        item_text(item, "addr", true, backend->addr, sizeof(backend->addr)) !=
+    if (item_check_fields(item, keys) != 0 ||
+        item_read_text(item, "addr", true, backend->addr,
+                       sizeof(backend->addr)) != 0 ||
+        item_read_text(item, "dc", true, backend->dc, sizeof(backend->dc)) !=
             0 ||
-        item_text(item, "dc", true, backend->dc, sizeof(backend->dc)) != 0 ||
-        item_text(item, "serves", true, backend->serves,
-                  sizeof(backend->serves)) != 0 ||
+        item_read_text(item, "serves", true, backend->serves,
+                       sizeof(backend->serves)) != 0 ||
         read_backend_kind(item, backend) != 0 ||
-        item_flag(item, "honours_fencing", &backend->honours_fencing) != 0 ||
-        item_flag(item, "checks_issuer", &backend->checks_issuer) != 0 ||
-        item_flag(item, "drain", &backend->drain) != 0) {
+        item_read_bool(item, "honours_fencing", &backend->honours_fencing) !=
+            0 ||
+        item_read_bool(item, "checks_issuer", &backend->checks_issuer) != 0 ||
+        item_read_bool(item, "drain", &backend->drain) != 0) {
         return -1;
     }
     if (!addr_is_valid(backend->addr)) {
-        return item_error(item, "addr", "IPV4:PORT");
+        return item_set_error(item, "addr", "IPV4:PORT");
     }
     return 0;
 }
@@ -241,15 +245,15 @@
     static const char *const kinds[] = {"backend", "dc", "host"};
     const char *kind = json_text(item->fields, "kind");
     str_copy(window->name, sizeof(window->name), item->name);
-    if (item_known(item, keys) != 0 ||
-        item_text(item, "target", true, window->target,
-                  sizeof(window->target)) != 0 ||
-        item_time(item, "begin_ms", &window->begin_ms) != 0 ||
-        item_time(item, "end_ms", &window->end_ms) != 0) {
+    if (item_check_fields(item, keys) != 0 ||
+        item_read_text(item, "target", true, window->target,
+                       sizeof(window->target)) != 0 ||
+        item_read_time(item, "begin_ms", &window->begin_ms) != 0 ||
+        item_read_time(item, "end_ms", &window->end_ms) != 0) {
         return -1;
     }
     if (window->end_ms <= window->begin_ms) {
-        return item_error(item, "end_ms", "a time behind begin_ms");
+        return item_set_error(item, "end_ms", "a time after begin_ms");
     }
     for (int i = 0; i < 3; i++) {
         if (kind != NULL && strcmp(kind, kinds[i]) == 0) {
@@ -257,7 +261,7 @@
             return 0;
         }
     }
-    return item_error(item, "kind", "backend, dc or host");
+    return item_set_error(item, "kind", "backend, dc or host");
 }
 
 typedef int (*item_reader_t)(const item_t *item, void *out);
@@ -278,7 +282,7 @@
         item_t item = {section, name, fields, err};
         if (!str_is_name(name)) {
             return err_set(err, ERR_CONFIG, 400,
-                           "%s: %.70s cannot be a name; allowed: 1 to 63 "
+                           "%s: %.70s is not a valid name; expected: 1 to 63 "
                            "letters, digits, dashes, dots, underscores",
                            section, name);
         }
@@ -291,7 +295,7 @@
 }
 
 static int
-read_top(config_t *config, err_t *err)
+read_top_level(config_t *config, err_t *err)
 {
     const char *objective = json_text(config->doc, "objective");
     const char *policy = json_text(config->doc, "policy");
@@ -307,7 +311,8 @@
     return 0;
 }
 
-/* References that lead nowhere are errors of the change that makes them. */
+/* Check that every reference is to something declared, so that a change that
+ * would break one is rejected. */
 static int
 check_references(const config_t *config, err_t *err)
 {
@@ -336,29 +341,31 @@
     return 0;
 }
 
-#define READ(section, field, count, type, reader)                             \
+#define READ_SECTION(section, field, count, type, reader)                     \
     read_section(doc, section, sizeof(type), reader, (void **)&config->field, \
                  &config->count, err)
 
-/* Parse and check a whole document; NULL with an error that names the
- * section, object and field. */
+/* Parse and validate a whole document.  Returns NULL on failure; the error
+ * names the section, object and field. */
 config_t *
 config_parse(json_t *doc, err_t *err)
 {
     config_t *config = mem_zalloc(sizeof(*config));
     config->refs = 1;
     config->doc = json_deep_copy(doc);
-    if (read_top(config, err) != 0 ||
-        READ("workspaces", workspaces, workspace_count, workspace_t,
-             read_workspace) != 0 ||
-        READ("models", models, model_count, model_t, read_model) != 0 ||
-        READ("services", services, service_count, service_t, read_service) !=
-            0 ||
-        READ("backends", backends, backend_count, backend_t, read_backend) !=
+    if (read_top_level(config, err) != 0 ||
+        READ_SECTION("workspaces", workspaces, workspace_count, workspace_t,
+                     read_workspace) != 0 ||
+        READ_SECTION("models", models, model_count, model_t, read_model) !=
             0 ||
-        READ("windows", windows, window_count, window_t, read_window) != 0 ||
-        READ("operators", operators, operator_count, operator_t,
-             read_operator) != 0 ||
+        READ_SECTION("services", services, service_count, service_t,
+                     read_service) != 0 ||
+        READ_SECTION("backends", backends, backend_count, backend_t,
+                     read_backend) != 0 ||
+        READ_SECTION("windows", windows, window_count, window_t,
+                     read_window) != 0 ||
+        READ_SECTION("operators", operators, operator_count, operator_t,
+                     read_operator) != 0 ||
         check_references(config, err) != 0) {
         config_release(config);
         return NULL;
@@ -366,7 +373,7 @@
     return config;
 }
 
-/* Share a configuration. */
+/* Take a reference to a configuration. */
 config_t *
 config_hold(config_t *config)
 {
@@ -374,7 +381,7 @@
     return config;
 }
 
-/* Give a share back; the last one frees it. */
+/* Drop a reference; dropping the last one frees the configuration. */
 void
 config_release(config_t *config)
 {
@@ -392,9 +399,10 @@
     free(config);
 }
 
-/* Find by name in an array of structs that begin with their name. */
+/* Find an item by name in an array of structs whose first member is their
+ * name. */
 static const void *
-find_named(const void *items, size_t count, size_t size, const char *name)
+find_by_name(const void *items, size_t count, size_t size, const char *name)
 {
     for (size_t i = 0; i < count && name != NULL; i++) {
         const char *item = (const char *)items + i * size;
@@ -408,25 +416,25 @@
 const model_t *
 config_find_model(const config_t *config, const char *name)
 {
-    return find_named(config->models, config->model_count, sizeof(model_t),
-                      name);
+    return find_by_name(config->models, config->model_count, sizeof(model_t),
+                        name);
 }
 
 const service_t *
 config_find_service(const config_t *config, const char *name)
 {
-    return find_named(config->services, config->service_count,
-                      sizeof(service_t), name);
+    return find_by_name(config->services, config->service_count,
+                        sizeof(service_t), name);
 }
 
 const backend_t *
 config_find_backend(const config_t *config, const char *name)
 {
-    return find_named(config->backends, config->backend_count,
-                      sizeof(backend_t), name);
+    return find_by_name(config->backends, config->backend_count,
+                        sizeof(backend_t), name);
 }
 
-/* The workspace that a caller's key stands for. */
+/* The workspace that a caller's key belongs to, or NULL. */
 const workspace_t *
 config_find_workspace_by_key(const config_t *config, const char *hash)
 {
@@ -438,7 +446,7 @@
     return NULL;
 }
 
-/* The operator that a key stands for. */
+/* The operator that a key belongs to, or NULL. */
 const operator_t *
 config_find_operator_by_key(const config_t *config, const char *hash)
 {
@@ -450,8 +458,8 @@
     return NULL;
 }
 
-/* How long before a window admission has to stop: the longest stream that
- * the server's model or service allows. */
+/* How long before a maintenance window a backend server must stop taking new
+ * requests: the longest stream that its model or service allows. */
 int
 config_window_lead_ms(const config_t *config, const backend_t *backend)
 {
@@ -477,7 +485,7 @@
     return false;
 }
 
-/* Whether a backend server may be given new work at a wall time. */
+/* Whether a backend server may be given new requests at a wall time. */
 availability_t
 config_backend_availability(const config_t *config, const backend_t *backend,
                             int64_t now_ms)
@@ -501,34 +509,35 @@
     return AVAILABILITY_OPEN;
 }
 
-/* The longest that any model or service allows a request to run. */
+/* The longest time that any model or service allows a request to run. */
 int
 config_duration_max_ms(const config_t *config)
 {
-    int longest = 0;
+    int max_ms = 0;
     for (size_t i = 0; i < config->model_count; i++) {
-        int mine = config->models[i].duration_max_s * 1000;
-        longest = mine > longest ? mine : longest;
+        int duration_ms = config->models[i].duration_max_s * 1000;
+        max_ms = duration_ms > max_ms ? duration_ms : max_ms;
     }
     for (size_t i = 0; i < config->service_count; i++) {
-        int mine = config->services[i].duration_max_s * 1000;
-        longest = mine > longest ? mine : longest;
+        int duration_ms = config->services[i].duration_max_s * 1000;
+        max_ms = duration_ms > max_ms ? duration_ms : max_ms;
     }
-    return longest;
+    return max_ms;
 }
 
-/* Whether a host of ours is clear of windows at a wall time. */
+/* Whether no maintenance window of a router's host or its data centre is
+ * active at a wall time or begins within lead_ms. */
 bool
 config_host_is_available(const config_t *config, const char *host,
                          const char *dc, int64_t now_ms, int64_t lead_ms)
 {
     for (size_t i = 0; i < config->window_count; i++) {
         const window_t *window = &config->windows[i];
-        bool mine =
+        bool applies =
             (window->kind == WINDOW_HOST &&
              strcmp(window->target, host) == 0) ||
             (window->kind == WINDOW_DC && strcmp(window->target, dc) == 0);
-        if (mine && now_ms >= window->begin_ms - lead_ms &&
+        if (applies && now_ms >= window->begin_ms - lead_ms &&
             now_ms < window->end_ms) {
             return false;
         }
--- a/kernel/config.h
+++ b/kernel/config.h
@@ -1,8 +1,9 @@
 #ifndef CELERYSPOOL_CONFIG_H
 #define CELERYSPOOL_CONFIG_H
 
-/* The platform's configuration: one object with a generation, accepted by a
- * conditional update and adopted only upwards. */
+/* The configuration of a deployment: one versioned object in the platform's
+ * store.  Changes are written with a conditional update, and a daemon adopts a
+ * document only if its generation is higher than the current one. */
 
 #include "base.h"
 
@@ -13,28 +14,28 @@
 typedef enum {
     BACKEND_ENGINE,
     BACKEND_SERVICE,
-    BACKEND_UNROUTED
+    BACKEND_UNROUTED /* declared, but never given a request */
 } backend_kind_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
     char key_hash[KEY_HASH_LEN + 1];
-    int share;    /* weight among workspaces past capacity */
-    int priority; /* passed to the engines; higher goes first */
+    int share;    /* weight in fair queueing when capacity is short */
+    int priority; /* passed to the engines; higher runs first */
 } workspace_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
     char version[CS_NAME_MAX];
-    int duration_max_s;       /* the longest stream that is allowed */
-    int concurrent_loads_max; /* replicas that load new weights at once */
+    int duration_max_s;       /* longest stream allowed, in seconds */
+    int concurrent_loads_max; /* servers that may load new weights at once */
 } model_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
     char addr[CS_ADDR_MAX];
     char dc[CS_NAME_MAX];
-    char serves[CS_NAME_MAX]; /* the model or the service */
+    char serves[CS_NAME_MAX]; /* name of the model or service */
     backend_kind_t kind;
     bool honours_fencing;
     bool checks_issuer;
@@ -47,14 +48,15 @@
     int duration_max_s;
 } service_t;
 
+/* What a maintenance window takes out of service. */
 typedef enum { WINDOW_BACKEND, WINDOW_DC, WINDOW_HOST } window_kind_t;
 
 typedef struct {
     char name[CS_NAME_MAX];
     window_kind_t kind;
     char target[CS_NAME_MAX];
-    int64_t begin_ms; /* wall time */
-    int64_t end_ms;
+    int64_t begin_ms; /* wall time, ms since 1970 */
+    int64_t end_ms;   /* wall time, ms since 1970 */
 } window_t;
 
 typedef struct {
@@ -62,10 +64,11 @@
     char key_hash[KEY_HASH_LEN + 1];
 } operator_t;
 
-/* How a deployment weighs waiting against recomputing. */
+/* What placement optimizes first: the tail of the time to first token, or
+ * prefix cache hits. */
 typedef enum { OBJECTIVE_TAIL_LATENCY, OBJECTIVE_CACHE_HITS } objective_t;
 
-/* Immutable once parsed; shared by count. */
+/* A parsed configuration: immutable and reference counted. */
 typedef struct {
     unsigned refs;
     int64_t generation;
@@ -86,11 +89,11 @@
     size_t operator_count;
 } config_t;
 
-/* Why a backend server takes no new work. */
+/* Whether a backend server may be given new requests, or why not. */
 typedef enum {
     AVAILABILITY_OPEN,
     AVAILABILITY_DRAINED,
-    AVAILABILITY_WINDOW_NEAR,
+    AVAILABILITY_WINDOW_NEAR, /* a request could still run when it begins */
     AVAILABILITY_IN_WINDOW
 } availability_t;
 
@@ -114,23 +117,24 @@
 const char *availability_name(availability_t open);
 int config_window_lead_ms(const config_t *config, const backend_t *backend);
 
-/* One change that an operator orders. */
+/* One change to the configuration, made by an operator. */
 typedef enum { CHANGE_DECLARE, CHANGE_SET, CHANGE_REMOVE } change_kind_t;
 
 typedef struct {
     change_kind_t kind;
-    const char *section; /* "workspaces", "models", … */
+    const char *section; /* "models", …; "top" for top-level fields */
     const char *name;
     json_t *fields;
 } change_t;
 
 json_t *config_change_apply(const json_t *doc, const change_t *change,
                             err_t *err);
-json_t *config_change_record(json_t *doc, const char *id, const char *who,
-                             const char *what);
+json_t *config_change_record(json_t *doc, const char *id,
+                             const char *operator_name,
+                             const char *description);
 bool config_has_change(const json_t *doc, const char *id, int64_t *generation);
 void config_list_warnings(const config_t *config, int64_t now_ms, json_t *out);
-const char *config_find_section(const char *word);
+const char *config_find_section(const char *name);
 void config_hash_key(const char *key, char out[KEY_HASH_LEN + 1]);
 
 #endif
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -14,7 +14,7 @@
     return next;
 }
 
-/* A document with a model, a workspace and two servers. */
+/* A document with a model, a workspace and two backend servers. */
 static json_t *
 sample(void)
 {
@@ -52,13 +52,13 @@
     ck_assert_ptr_nonnull(strstr(err.text, "serves m, which is not declared"));
     (void)apply(sample(), CHANGE_DECLARE, "models", "m",
                 json_pack("{s:s}", "version", "v2"), &err);
-    ck_assert_ptr_nonnull(strstr(err.text, "declared already"));
+    ck_assert_ptr_nonnull(strstr(err.text, "already declared"));
     (void)apply(sample(), CHANGE_SET, "models", "x", json_object(), &err);
     ck_assert_ptr_nonnull(strstr(err.text, "not declared"));
 }
 END_TEST
 
-START_TEST(a_sealed_change_has_a_generation_and_is_found_again)
+START_TEST(a_recorded_change_has_a_generation_and_is_found)
 {
     int64_t generation = 0;
     json_t *doc = config_change_record(sample(), "id-1", "ann", "set model m");
@@ -70,10 +70,10 @@
 }
 END_TEST
 
-/* A user would see an answer cut by the landlord's date.  The server is
- * given work until the date, and the longest stream outlasts it.  Admission
- * therefore ends one longest stream before the window begins. */
-START_TEST(a_window_closes_a_server_one_longest_stream_before)
+/* Guards against a stream that is cut by a maintenance window: a server that
+ * is given requests until the window begins still runs the longest of them
+ * then.  New requests must stop one longest stream before. */
+START_TEST(a_window_stops_new_requests_one_longest_stream_before)
 {
     err_t err = {0};
     json_t *doc =
@@ -82,17 +82,17 @@
                         "begin_ms", 100000, "end_ms", 200000),
               &err);
     config_t *config = config_parse(doc, &err);
-    const backend_t *in = config_find_backend(config, "b1");
-    const backend_t *out = config_find_backend(config, "b2");
-    ck_assert_int_eq(config_backend_availability(config, in, 89999),
+    const backend_t *covered = config_find_backend(config, "b1");
+    const backend_t *other = config_find_backend(config, "b2");
+    ck_assert_int_eq(config_backend_availability(config, covered, 89999),
                      AVAILABILITY_OPEN);
-    ck_assert_int_eq(config_backend_availability(config, in, 90000),
+    ck_assert_int_eq(config_backend_availability(config, covered, 90000),
                      AVAILABILITY_WINDOW_NEAR);
-    ck_assert_int_eq(config_backend_availability(config, in, 100000),
+    ck_assert_int_eq(config_backend_availability(config, covered, 100000),
                      AVAILABILITY_IN_WINDOW);
-    ck_assert_int_eq(config_backend_availability(config, in, 200000),
+    ck_assert_int_eq(config_backend_availability(config, covered, 200000),
                      AVAILABILITY_OPEN);
-    ck_assert_int_eq(config_backend_availability(config, out, 150000),
+    ck_assert_int_eq(config_backend_availability(config, other, 150000),
                      AVAILABILITY_OPEN);
     ck_assert(!config_host_is_available(config, "h", "dc-a", 150000, 0));
     ck_assert(config_host_is_available(config, "h", "dc-b", 150000, 0));
@@ -101,10 +101,11 @@
 }
 END_TEST
 
-/* An operator learns on the landlord's date that streams were cut.  The
- * window was declared with less notice than the longest stream, or over all
- * replicas.  Both are said when it is declared. */
-START_TEST(a_window_that_would_lose_work_is_flagged_beforehand)
+/* Guards against windows that cut streams or leave a model without a server
+ * and give no warning: they are declared with less notice than the longest
+ * stream, or together cover every server.  The warnings must be given when
+ * they are declared. */
+START_TEST(a_window_that_would_lose_requests_gives_warnings)
 {
     err_t err = {0};
     json_t *doc =
@@ -120,14 +121,15 @@
     CLEAN_JSON json_t *warnings = json_array();
     config_list_warnings(config, 1000, warnings);
     CLEAN_TEXT char *text = json_dumps(warnings, 0);
-    ck_assert_ptr_nonnull(strstr(text, "window short: notice is 6000 ms"));
-    ck_assert_ptr_nonnull(strstr(text, "no server of m is left open"));
+    ck_assert_ptr_nonnull(
+        strstr(text, "window short: notice is 6000 ms shorter"));
+    ck_assert_ptr_nonnull(strstr(text, "no server of m stays available"));
     config_release(config);
     json_decref(doc);
 }
 END_TEST
 
-START_TEST(a_drained_server_is_closed)
+START_TEST(a_drained_server_is_unavailable)
 {
     err_t err = {0};
     json_t *doc = apply(sample(), CHANGE_SET, "backends", "b1",
@@ -142,7 +144,7 @@
 END_TEST
 
 TEST_MAIN("config", errors_name_section_object_and_field,
-          a_sealed_change_has_a_generation_and_is_found_again,
-          a_window_closes_a_server_one_longest_stream_before,
-          a_window_that_would_lose_work_is_flagged_beforehand,
-          a_drained_server_is_closed)
+          a_recorded_change_has_a_generation_and_is_found,
+          a_window_stops_new_requests_one_longest_stream_before,
+          a_window_that_would_lose_requests_gives_warnings,
+          a_drained_server_is_unavailable)
