--- a/kernel/settings.h
+++ b/kernel/settings.h
@@ -1,15 +1,16 @@
 #ifndef CELERYSPOOL_SETTINGS_H
 #define CELERYSPOOL_SETTINGS_H
 
-/* What only one host needs to know, read from an INI file. */
+/* The settings of one daemon, read from an INI file. */
 
 #include "base.h"
 
 #define SETTINGS_SEEDS_MAX 16
 #define SECRET_BYTES 32
 
-/* What a daemon is: the product's own interface, or the router on the users'
- * platform.  Some settings belong to one of them. */
+/* What a daemon runs as: MODE_CHAT serves the product's own interface,
+ * MODE_RELAY is the router on the users' platform.  Some settings apply to
+ * one mode only. */
 typedef enum { MODE_CHAT = 1, MODE_RELAY = 2 } daemon_mode_t;
 #define MODE_BOTH (MODE_CHAT | MODE_RELAY)
 
@@ -17,7 +18,7 @@
     char name[CS_NAME_MAX];
     char dc[CS_NAME_MAX];
     int mode;
-    int objective;
+    int objective; /* 0: tail latency, 1: cache hits */
     char ready_addr[CS_ADDR_MAX];
     char metrics_addr[CS_ADDR_MAX];
     double stop_timeout_s;
@@ -49,7 +50,7 @@
     int store_timeout_ms;
 } settings_t;
 
-/* All that is wrong with a file, a line each: "file:line: what". */
+/* Both report every problem of a file, one per line: "file:line: problem". */
 int settings_read(settings_t *settings, const char *path, buf_t *problems);
 int settings_parse(settings_t *settings, const char *name, const char *text,
                    buf_t *problems);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -3,14 +3,14 @@
 
 #include <string.h>
 
-static const char good[] =
+static const char valid[] =
     "[daemon]\nname = router-1\ndc = dc-a\n"
     "[listen]\nhttp = 127.0.0.1:8101\npeer = 127.0.0.1:8201\n"
     "[platform]\nstore = 127.0.0.1:9001\n"
     "[keys]\noperator = op\nsecret = "
     "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f\n";
 
-/* The problems that a text has, one line each. */
+/* The problems of a settings text, one per line. */
 static const char *
 problems_of(const char *text)
 {
@@ -23,18 +23,18 @@
 }
 
 static const char *
-with(const char *extra)
+problems_with(const char *added_text)
 {
     static char text[4096];
-    (void)snprintf(text, sizeof(text), "%s%s", good, extra);
+    (void)snprintf(text, sizeof(text), "%s%s", valid, added_text);
     return problems_of(text);
 }
 
-START_TEST(a_good_file_is_taken_with_its_defaults)
+START_TEST(a_valid_file_is_read_with_defaults)
 {
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
-    int status = settings_parse(&settings, "f.ini", good, &problems);
+    int status = settings_parse(&settings, "f.ini", valid, &problems);
     ck_assert_str_eq(buf_text(&problems), "");
     ck_assert_int_eq(status, 0);
     ck_assert_str_eq(settings.name, "router-1");
@@ -43,54 +43,55 @@
 }
 END_TEST
 
-START_TEST(each_fault_names_file_line_and_what_is_allowed)
+START_TEST(problems_name_file_line_and_allowed_values)
 {
-    ck_assert_ptr_nonnull(strstr(with("[keys]\nfoo = 1\n"),
+    ck_assert_ptr_nonnull(strstr(problems_with("[keys]\nfoo = 1\n"),
                                  "f.ini:13: unknown key foo in [keys]; "
                                  "allowed: secret, operator"));
-    ck_assert_ptr_nonnull(
-        strstr(with("[nope]\na = 1\n"), "f.ini:13: unknown section [nope]"));
-    ck_assert_ptr_nonnull(strstr(with("[daemon]\nname = again\n"),
-                                 "f.ini:13: name is set twice, first in "
+    ck_assert_ptr_nonnull(strstr(problems_with("[nope]\na = 1\n"),
+                                 "f.ini:13: unknown section [nope]"));
+    ck_assert_ptr_nonnull(strstr(problems_with("[daemon]\nname = again\n"),
+                                 "f.ini:13: name is set twice, first on "
                                  "line 2"));
-    ck_assert_ptr_nonnull(strstr(with("[listen]\nbody_kib = 12x\n"),
-                                 "f.ini:13: body_kib = 12x is not allowed; "
-                                 "allowed: a whole number from 1 to 65536"));
-    ck_assert_ptr_nonnull(strstr(with("[peers]\nseeds = 1.2.3.4\n"),
+    ck_assert_ptr_nonnull(strstr(problems_with("[listen]\nbody_kib = 12x\n"),
+                                 "f.ini:13: body_kib = 12x is invalid; "
+                                 "expected: an integer from 1 to 65536"));
+    ck_assert_ptr_nonnull(strstr(problems_with("[peers]\nseeds = 1.2.3.4\n"),
                                  "f.ini:13: seeds = 1.2.3.4"));
-    ck_assert_ptr_nonnull(strstr(with("[daemon]\nlog_level = loud\n"),
+    ck_assert_ptr_nonnull(strstr(problems_with("[daemon]\nlog_level = loud\n"),
                                  "error, warn, info or debug"));
-    ck_assert_ptr_nonnull(
-        strstr(with("what is this\n"), "f.ini:12: neither a section nor"));
+    ck_assert_ptr_nonnull(strstr(problems_with("what is this\n"),
+                                 "f.ini:12: neither a section nor"));
 }
 END_TEST
 
-START_TEST(all_faults_are_told_in_one_run)
+START_TEST(all_problems_are_reported_at_once)
 {
-    const char *told = problems_of("[listen]\nhttp = x\nthreads = 3\n");
-    ck_assert_ptr_nonnull(strstr(told, "http = x"));
-    ck_assert_ptr_nonnull(strstr(told, "unknown key threads"));
-    ck_assert_ptr_nonnull(strstr(told, "name is missing"));
-    ck_assert_ptr_nonnull(strstr(told, "secret is missing"));
+    const char *problems = problems_of("[listen]\nhttp = x\nthreads = 3\n");
+    ck_assert_ptr_nonnull(strstr(problems, "http = x"));
+    ck_assert_ptr_nonnull(strstr(problems, "unknown key threads"));
+    ck_assert_ptr_nonnull(strstr(problems, "name is missing"));
+    ck_assert_ptr_nonnull(strstr(problems, "secret is missing"));
 }
 END_TEST
 
-START_TEST(contradictions_are_faults)
+START_TEST(conflicting_settings_are_problems)
 {
     char text[1024];
-    str_copy(text, sizeof(text), good);
+    str_copy(text, sizeof(text), valid);
     strstr(text, "8201")[1] = '1';
+    ck_assert_ptr_nonnull(strstr(problems_of(text),
+                                 "f.ini:6: peer is the same address as http"));
     ck_assert_ptr_nonnull(
-        strstr(problems_of(text), "f.ini:6: peer is the address of http"));
-    ck_assert_ptr_nonnull(strstr(with("[peers]\nseeds = 127.0.0.1:8101\n"),
-                                 "is an http address"));
+        strstr(problems_with("[peers]\nseeds = 127.0.0.1:8101\n"),
+               "is an http address"));
 }
 END_TEST
 
-START_TEST(a_secret_is_never_repeated)
+START_TEST(problems_never_contain_a_secret)
 {
     char text[1024];
-    str_copy(text, sizeof(text), good);
+    str_copy(text, sizeof(text), valid);
     char *at = strstr(text, "secret = ");
     at[9] = 'z';
     ck_assert_ptr_null(strstr(problems_of(text), "z00102"));
@@ -98,7 +99,7 @@
 }
 END_TEST
 
-START_TEST(the_example_file_is_good)
+START_TEST(the_example_file_is_valid)
 {
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
@@ -107,15 +108,16 @@
 }
 END_TEST
 
-/* A value that the platform fills into the settings' template. */
+/* A name of the settings template and the value that the platform sets. */
 typedef struct {
     const char *name;
     const char *value;
-} filled_t;
+} template_value_t;
 
-/* The value of a name of the template, or NULL. */
+/* The value of a name in the template, or NULL. */
 static const char *
-value_of(const filled_t *values, size_t count, const char *name, size_t len)
+find_value(const template_value_t *values, size_t count, const char *name,
+           size_t len)
 {
     for (size_t i = 0; i < count; i++) {
         if (strlen(values[i].name) == len &&
@@ -126,10 +128,10 @@
     return NULL;
 }
 
-/* Renders a section, whose text is between its two tags, if its name has a
- * value; returns what follows it. */
+/* Render a section, the text between its two tags, if its name has a value;
+ * returns what follows the section. */
 static const char *
-render_section(const filled_t *values, size_t count, const char *open,
+render_section(const template_value_t *values, size_t count, const char *open,
                buf_t *out)
 {
     const char *close = strstr(open, "}}");
@@ -138,7 +140,7 @@
     (void)snprintf(tag, sizeof(tag), "{{/%.*s}}", (int)len, open + 3);
     const char *end = strstr(close, tag);
     ck_assert_ptr_nonnull(end);
-    const char *value = value_of(values, count, open + 3, len);
+    const char *value = find_value(values, count, open + 3, len);
     const char *dot = strstr(close, "{{.}}");
     if (value != NULL && dot != NULL && dot < end) {
         buf_add(out, close + 2, (size_t)(dot - close) - 2);
@@ -148,10 +150,10 @@
     return end + strlen(tag);
 }
 
-/* The template with the given values in place of its names; a section of a
- * name that is not listed is empty.  Other such names get "1". */
+/* The template with its names replaced by the given values.  Names without a
+ * value are replaced by "1"; sections without one are left out. */
 static const char *
-template_with(const filled_t *values, size_t count)
+render_template(const template_value_t *values, size_t count)
 {
     static char out[4096];
     char text[4096];
@@ -172,7 +174,7 @@
             continue;
         }
         const char *value =
-            value_of(values, count, open + 2, (size_t)(close - open) - 2);
+            find_value(values, count, open + 2, (size_t)(close - open) - 2);
         buf_str(&filled, value != NULL ? value : "1");
     }
     buf_str(&filled, at);
@@ -180,7 +182,7 @@
     return out;
 }
 
-static const filled_t platform_values[] = {
+static const template_value_t platform_values[] = {
     {"node_name", "edge-a-1"},
     {"zone", "dc-a"},
     {"listen_addresses.front", "127.0.0.1:8101"},
@@ -199,17 +201,18 @@
     {"bounds.lease_ms", "3000.5"},
     {"bounds.version_ms", "1e4"},
 };
-#define PLATFORM_VALUES (sizeof(platform_values) / sizeof(platform_values[0]))
+#define PLATFORM_VALUE_COUNT \
+    (sizeof(platform_values) / sizeof(platform_values[0]))
 
-/* Guards against a daemon that exits at its start because a bound of the
+/* Guards against a daemon that exits at startup because a bound set by the
  * platform is a fraction. */
 START_TEST(bounds_may_be_fractions_and_keep_their_precision)
 {
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
-    (void)settings_parse(&settings, "f",
-                         template_with(platform_values, PLATFORM_VALUES),
-                         &problems);
+    (void)settings_parse(
+        &settings, "f", render_template(platform_values, PLATFORM_VALUE_COUNT),
+        &problems);
     ck_assert_str_eq(buf_text(&problems), "");
     ck_assert_double_eq(settings.stop_timeout_s, 8.5);
     ck_assert_double_eq(settings.retry_ratio, 0.125);
@@ -223,72 +226,73 @@
 }
 END_TEST
 
-/* Guards against a daemon that exits at its start on a platform that names no
- * bounds of quotas. */
-START_TEST(bounds_of_quotas_may_be_missing)
+/* Guards against a daemon that exits at startup on a platform that sets no
+ * bounds for quotas. */
+START_TEST(quota_bounds_may_be_missing)
 {
     settings_t settings;
     CLEAN_BUF buf_t problems = {0};
-    filled_t values[PLATFORM_VALUES];
+    template_value_t values[PLATFORM_VALUE_COUNT];
     size_t count = 0;
-    for (size_t i = 0; i < PLATFORM_VALUES; i++) {
+    for (size_t i = 0; i < PLATFORM_VALUE_COUNT; i++) {
         if (strstr(platform_values[i].name, "quota") == NULL) {
             values[count++] = platform_values[i];
         }
     }
-    (void)settings_parse(&settings, "f", template_with(values, count),
+    (void)settings_parse(&settings, "f", render_template(values, count),
                          &problems);
     ck_assert_str_eq(buf_text(&problems), "");
     ck_assert_double_eq(settings.quota_slack, 0);
 }
 END_TEST
 
-START_TEST(bounds_out_of_range_or_no_numbers_are_faults)
+START_TEST(invalid_bounds_are_problems)
 {
-    static const char *const bad[] = {
+    static const char *const invalid[] = {
         "",     "x",     "-1",  "1e9", "inf", "nan", "0x10",
         "1.5x", "1 000", "1,5", "--3", "1e",  ".",   "99999999999999999999",
     };
-    for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-        filled_t values[PLATFORM_VALUES];
+    for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
+        template_value_t values[PLATFORM_VALUE_COUNT];
         settings_t settings;
         CLEAN_BUF buf_t problems = {0};
         memcpy(values, platform_values, sizeof(values));
-        for (size_t at = 0; at < PLATFORM_VALUES; at++) {
+        for (size_t at = 0; at < PLATFORM_VALUE_COUNT; at++) {
             if (strncmp(values[at].name, "bounds.", 7) == 0) {
-                values[at].value = bad[i];
+                values[at].value = invalid[i];
             }
         }
         (void)settings_parse(&settings, "f.ini",
-                             template_with(values, PLATFORM_VALUES),
+                             render_template(values, PLATFORM_VALUE_COUNT),
                              &problems);
         static const char *const keys[] = {
             "stop_s",         "retry_ratio",   "retry_slack",
             "retry_window_s", "lease_ms",      "weights_ms",
             "quota_window_s", "quota_overage", "quota_slack"};
         for (size_t key = 0; key < sizeof(keys) / sizeof(keys[0]); key++) {
-            char want[128];
-            (void)snprintf(want, sizeof(want),
-                           "%s = %s is not allowed; allowed: a number from ",
-                           keys[key], bad[i]);
-            ck_assert_msg(strstr(buf_text(&problems), want) != NULL,
-                          "%s is missing in: %s", want, buf_text(&problems));
+            char expected[128];
+            (void)snprintf(expected, sizeof(expected),
+                           "%s = %s is invalid; expected: a number from ",
+                           keys[key], invalid[i]);
+            ck_assert_msg(strstr(buf_text(&problems), expected) != NULL,
+                          "%s is missing in: %s", expected,
+                          buf_text(&problems));
         }
     }
 }
 END_TEST
 
-/* Bytes of a good file are changed, dropped and doubled at random, with a
- * fixed seed: the reader must end with a verdict, under the sanitizers. */
-START_TEST(damaged_files_get_a_verdict)
+/* A valid text is corrupted and truncated at random, with a fixed seed: it
+ * must be read or rejected with a problem, without a sanitizer error. */
+START_TEST(corrupted_files_are_read_or_rejected)
 {
     rng_t rng = {7};
     for (int i = 0; i < 3000; i++) {
         char text[1024];
         settings_t settings;
         CLEAN_BUF buf_t problems = {0};
-        size_t len = strlen(good);
-        memcpy(text, good, len + 1);
+        size_t len = strlen(valid);
+        memcpy(text, valid, len + 1);
         for (uint64_t n = rng_below(&rng, 8); n > 0; n--) {
             text[rng_below(&rng, len)] = (char)(1 + rng_below(&rng, 255));
         }
@@ -299,11 +303,10 @@
 }
 END_TEST
 
-TEST_MAIN("settings", a_good_file_is_taken_with_its_defaults,
-          each_fault_names_file_line_and_what_is_allowed,
-          all_faults_are_told_in_one_run, contradictions_are_faults,
-          a_secret_is_never_repeated, the_example_file_is_good,
+TEST_MAIN("settings", a_valid_file_is_read_with_defaults,
+          problems_name_file_line_and_allowed_values,
+          all_problems_are_reported_at_once, conflicting_settings_are_problems,
+          problems_never_contain_a_secret, the_example_file_is_valid,
           bounds_may_be_fractions_and_keep_their_precision,
-          bounds_of_quotas_may_be_missing,
-          bounds_out_of_range_or_no_numbers_are_faults,
-          damaged_files_get_a_verdict)
+          quota_bounds_may_be_missing, invalid_bounds_are_problems,
+          corrupted_files_are_read_or_rejected)
