--- a/kernel/command-query.c
+++ b/kernel/command-query.c
@@ -3,16 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The part that all queries share: where FIELD=VALUE … sort [-]FIELD limit
- * N.  A comparison is =, !=, < or >; numbers compare as numbers. */
+/* The clauses of a query: where FIELD=VALUE …, sort [-]FIELD, limit N.  A
+ * comparison is =, !=, < or >; numbers are compared as numbers. */
 
-typedef enum { TEST_EQUAL, TEST_OTHER, TEST_LESS, TEST_MORE } test_kind_t;
+typedef enum {
+    COMPARE_EQUAL,
+    COMPARE_NOT_EQUAL,
+    COMPARE_LESS,
+    COMPARE_GREATER
+} comparison_kind_t;
 
 typedef struct {
     char field[CS_NAME_MAX];
-    test_kind_t kind;
+    comparison_kind_t kind;
     const char *value;
-} test_t;
+} comparison_t;
 
 static int
 compare_values(const json_t *a, const json_t *b)
@@ -38,50 +43,51 @@
         double y = strtod(text, NULL);
         return (x > y) - (x < y);
     }
-    const char *have = json_string_value(value);
-    return strcmp(have == NULL ? "" : have, text);
+    const char *string = json_string_value(value);
+    return strcmp(string == NULL ? "" : string, text);
 }
 
 static bool
-test_holds(const test_t *test, const json_t *row)
+row_matches(const comparison_t *comparison, const json_t *row)
 {
-    const json_t *value = json_object_get(row, test->field);
-    int order = compare_text(value, test->value);
-    switch (test->kind) {
-        case TEST_EQUAL:
+    const json_t *value = json_object_get(row, comparison->field);
+    int order = compare_text(value, comparison->value);
+    switch (comparison->kind) {
+        case COMPARE_EQUAL:
             return order == 0;
-        case TEST_OTHER:
+        case COMPARE_NOT_EQUAL:
             return order != 0;
-        case TEST_LESS:
+        case COMPARE_LESS:
             return order < 0;
-        case TEST_MORE:
+        case COMPARE_GREATER:
             return order > 0;
     }
     return false;
 }
 
 static int
-parse_test(command_context_t *context, size_t word, test_t *test)
+parse_comparison(command_context_t *context, size_t word,
+                 comparison_t *comparison)
 {
     const char *text = context->words[word];
     size_t len = strcspn(text, "=<>!");
-    if (len == 0 || len >= sizeof(test->field) || text[len] == '\0') {
+    if (len == 0 || len >= sizeof(comparison->field) || text[len] == '\0') {
         return command_error(context, word,
-                             "%.60s is not a comparison; allowed: FIELD=V, "
+                             "%.60s is not a comparison; expected: FIELD=V, "
                              "FIELD!=V, FIELD<V, FIELD>V",
                              text);
     }
-    memcpy(test->field, text, len);
-    test->field[len] = '\0';
-    bool other = text[len] == '!';
-    if (other && text[len + 1] != '=') {
-        return command_error(context, word, "! needs = behind it");
-    }
-    test->kind = other              ? TEST_OTHER
-                 : text[len] == '=' ? TEST_EQUAL
-                 : text[len] == '<' ? TEST_LESS
-                                    : TEST_MORE;
-    test->value = text + len + (other ? 2 : 1);
+    memcpy(comparison->field, text, len);
+    comparison->field[len] = '\0';
+    bool not_equal = text[len] == '!';
+    if (not_equal && text[len + 1] != '=') {
+        return command_error(context, word, "! must be followed by =");
+    }
+    comparison->kind = not_equal          ? COMPARE_NOT_EQUAL
+                       : text[len] == '=' ? COMPARE_EQUAL
+                       : text[len] == '<' ? COMPARE_LESS
+                                          : COMPARE_GREATER;
+    comparison->value = text + len + (not_equal ? 2 : 1);
     return 0;
 }
 
@@ -99,45 +105,45 @@
     json_object_foreach ((json_t *)first, key, value) {
         buf_fmt(&list, "%s%s", list.len > 0 ? ", " : "", key);
     }
-    return command_error(context, word, "no field %.40s here; allowed: %.160s",
+    return command_error(context, word, "unknown field %.40s; allowed: %.160s",
                          field, buf_text(&list));
 }
 
 static int
-filter(command_context_t *context, size_t word, json_t *rows)
+filter_rows(command_context_t *context, size_t word, json_t *rows)
 {
-    test_t test = {.value = ""};
-    if (parse_test(context, word, &test) != 0 ||
-        check_field(context, word, test.field, rows) != 0) {
+    comparison_t comparison = {.value = ""};
+    if (parse_comparison(context, word, &comparison) != 0 ||
+        check_field(context, word, comparison.field, rows) != 0) {
         return -1;
     }
     for (size_t i = json_array_size(rows); i > 0; i--) {
-        if (!test_holds(&test, json_array_get(rows, i - 1))) {
+        if (!row_matches(&comparison, json_array_get(rows, i - 1))) {
             (void)json_array_remove(rows, i - 1);
         }
     }
     return 0;
 }
 
-/* A stable insertion sort: lists are short and the order of equals stays. */
+/* A stable insertion sort; lists are short. */
 static void
-sort_rows(json_t *rows, const char *field, bool down)
+sort_rows(json_t *rows, const char *field, bool descending)
 {
     for (size_t i = 1; i < json_array_size(rows); i++) {
         json_t *row = json_incref(json_array_get(rows, i));
         const json_t *value = json_object_get(row, field);
-        size_t at = i;
-        while (at > 0) {
-            const json_t *before =
-                json_object_get(json_array_get(rows, at - 1), field);
-            int order = compare_values(before, value);
-            if (down ? order >= 0 : order <= 0) {
+        size_t position = i;
+        while (position > 0) {
+            const json_t *previous =
+                json_object_get(json_array_get(rows, position - 1), field);
+            int order = compare_values(previous, value);
+            if (descending ? order >= 0 : order <= 0) {
                 break;
             }
-            at--;
+            position--;
         }
         (void)json_array_remove(rows, i);
-        (void)json_array_insert_new(rows, at, row);
+        (void)json_array_insert_new(rows, position, row);
     }
 }
 
@@ -148,11 +154,11 @@
         return command_error(context, word - 1, "sort needs a field");
     }
     const char *field = context->words[word];
-    bool down = field[0] == '-';
-    if (check_field(context, word, field + down, rows) != 0) {
+    bool descending = field[0] == '-';
+    if (check_field(context, word, field + descending, rows) != 0) {
         return -1;
     }
-    sort_rows(rows, field + down, down);
+    sort_rows(rows, field + descending, descending);
     return 0;
 }
 
@@ -174,7 +180,8 @@
     return 0;
 }
 
-/* Apply the clauses from a word on to rows and make them the result. */
+/* Apply the clauses from a word on to the rows and set them as the result.  On
+ * failure the rows are freed. */
 int
 command_query_apply(command_context_t *context, size_t from, json_t **rows)
 {
@@ -193,13 +200,14 @@
             failed = apply_limit(context, ++i, *rows);
         }
         else if (where) {
-            failed = filter(context, i, *rows);
+            failed = filter_rows(context, i, *rows);
         }
         else {
-            failed = command_error(context, i,
-                                   "%.40s is not understood; allowed: where, "
-                                   "sort, limit",
-                                   word);
+            failed =
+                command_error(context, i,
+                              "unknown clause %.40s; allowed: where, sort, "
+                              "limit",
+                              word);
         }
         if (failed != 0) {
             json_decref(*rows);
--- a/kernel/command.c
+++ b/kernel/command.c
@@ -8,24 +8,24 @@
 static CK_SLIST_HEAD(commands,
                      command) commands = CK_SLIST_HEAD_INITIALIZER(commands);
 
-/* Called by each command's constructor before main; the table is kept in
- * the order of names. */
+/* Add a command to the list, which is sorted by name.  Called before main by
+ * each command's constructor. */
 void
 command_register(command_t *command)
 {
-    command_t *before = NULL;
-    command_t *at;
-    CK_SLIST_FOREACH (at, &commands, entry) {
-        if (strcmp(at->name, command->name) > 0) {
+    command_t *previous = NULL;
+    command_t *next;
+    CK_SLIST_FOREACH (next, &commands, entry) {
+        if (strcmp(next->name, command->name) > 0) {
             break;
         }
-        before = at;
+        previous = next;
     }
-    if (before == NULL) {
+    if (previous == NULL) {
         CK_SLIST_INSERT_HEAD(&commands, command, entry);
     }
     else {
-        CK_SLIST_INSERT_AFTER(before, command, entry);
+        CK_SLIST_INSERT_AFTER(previous, command, entry);
     }
 }
 
@@ -41,7 +41,7 @@
     return NULL;
 }
 
-/* Walk all commands; NULL begins. */
+/* The command that follows, or the first one for NULL. */
 const command_t *
 command_next(const command_t *command)
 {
@@ -49,7 +49,7 @@
                            : CK_SLIST_NEXT(command, entry);
 }
 
-/* Fail, pointing at a word of the line. */
+/* Set an error about one word of the line; returns -1. */
 int
 command_error(command_context_t *context, size_t word, const char *fmt, ...)
 {
@@ -63,7 +63,7 @@
 }
 
 static char *
-skip_blank(char *at)
+skip_blanks(char *at)
 {
     while (isspace((unsigned char)*at)) {
         at++;
@@ -71,9 +71,10 @@
     return at;
 }
 
-/* The end of one word; quotes are taken away in place. */
+/* Remove the quotes of one word in place and return what follows it; sets
+ * unclosed if a quote is not closed. */
 static char *
-take_word(char *at, bool *open)
+unquote_word(char *at, bool *unclosed)
 {
     char *out = at;
     char quote = '\0';
@@ -89,7 +90,7 @@
             *out++ = *at++;
         }
     }
-    *open = quote != '\0';
+    *unclosed = quote != '\0';
     if (*at != '\0') {
         at++;
     }
@@ -97,31 +98,32 @@
     return at;
 }
 
-/* Split a line into words, in place; quotes keep blanks together. */
+/* Split a line into words in place; blanks within quotes do not separate
+ * words.  Returns 0 with an error on failure. */
 size_t
 command_split(char *line, char **words, size_t max, err_t *err)
 {
     size_t count = 0;
-    char *at = skip_blank(line);
+    char *at = skip_blanks(line);
     while (*at != '\0') {
-        bool open;
+        bool unclosed;
         if (count == max) {
-            (void)err_set(err, ERR_COMMAND, 400, "over %zu words", max);
+            (void)err_set(err, ERR_COMMAND, 400, "more than %zu words", max);
             return 0;
         }
         words[count++] = at;
-        at = take_word(at, &open);
-        if (open) {
+        at = unquote_word(at, &unclosed);
+        if (unclosed) {
             (void)err_set(err, ERR_COMMAND, 400, "a quote is not closed");
             return 0;
         }
-        at = skip_blank(at);
+        at = skip_blanks(at);
     }
     return count;
 }
 
 static json_t *
-value_of(const char *text)
+parse_value(const char *text)
 {
     char *end;
     if (strcmp(text, "true") == 0 || strcmp(text, "yes") == 0) {
@@ -142,31 +144,31 @@
 {
     char key[CS_NAME_MAX];
     const char *text = context->words[word];
-    const char *equals = strchr(text, '=');
-    if (equals == NULL || equals == text ||
-        (size_t)(equals - text) >= sizeof(key)) {
+    const char *separator = strchr(text, '=');
+    if (separator == NULL || separator == text ||
+        (size_t)(separator - text) >= sizeof(key)) {
         return command_error(context, word, "%.60s is not FIELD=VALUE", text);
     }
-    memcpy(key, text, (size_t)(equals - text));
-    key[equals - text] = '\0';
+    memcpy(key, text, (size_t)(separator - text));
+    key[separator - text] = '\0';
     if (json_object_get(fields, key) != NULL) {
         return command_error(context, word, "%s is given twice", key);
     }
-    /* A key is kept only as its hash. */
+    /* The configuration holds only the hash of a key. */
     if (strcmp(key, "key") == 0) {
         char hash[KEY_HASH_LEN + 1];
-        config_hash_key(equals + 1, hash);
+        config_hash_key(separator + 1, hash);
         return json_object_set_new(fields, "key_hash", json_string(hash));
     }
-    bool word_value = strcmp(key, "version") == 0 ||
-                      strcmp(key, "target") == 0 ||
-                      strcmp(key, "serves") == 0 || strcmp(key, "dc") == 0;
+    bool is_text = strcmp(key, "version") == 0 || strcmp(key, "target") == 0 ||
+                   strcmp(key, "serves") == 0 || strcmp(key, "dc") == 0;
     return json_object_set_new(
         fields, key,
-        word_value ? json_string(equals + 1) : value_of(equals + 1));
+        is_text ? json_string(separator + 1) : parse_value(separator + 1));
 }
 
-/* The words from one on as FIELD=VALUE; NULL with an error. */
+/* Parse the words from one on as FIELD=VALUE.  Returns NULL with an error on
+ * failure. */
 json_t *
 command_fields(command_context_t *context, size_t from)
 {
@@ -180,7 +182,7 @@
     return fields;
 }
 
-/* Commit a change in the name of who asked. */
+/* Commit a change on behalf of the operator. */
 int
 command_commit(command_context_t *context, const change_t *change)
 {
@@ -207,7 +209,7 @@
 }
 
 static int
-run_words(command_context_t *context)
+run_command(command_context_t *context)
 {
     if (context->word_count == 0) {
         return command_error(context, 0, "no command; try help");
@@ -220,19 +222,20 @@
     return command->run(context);
 }
 
-/* Run a line and give its reply and HTTP status.  May block. */
+/* Run a command line and set its reply and HTTP status.  May block. */
 int
-command_run(celeryspoold_t *daemon, const char *who, const char *line,
-            int64_t if_generation, json_t **reply, int *status)
+command_run(celeryspoold_t *daemon, const char *operator_name,
+            const char *line, int64_t if_generation, json_t **reply,
+            int *status)
 {
     CLEAN_TEXT char *copy = strdup(line);
     command_context_t context = {.daemon = daemon,
-                                 .operator_name = who,
+                                 .operator_name = operator_name,
                                  .line = line,
                                  .if_generation = if_generation};
     context.word_count =
         command_split(copy, context.words, COMMAND_WORDS_MAX, &context.err);
-    int failed = context.err.layer != ERR_NONE || run_words(&context) != 0;
+    int failed = context.err.layer != ERR_NONE || run_command(&context) != 0;
     if (failed) {
         *status = context.err.code >= 400 ? context.err.code : 500;
         *reply = error_reply(&context);
--- a/kernel/command.h
+++ b/kernel/command.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_COMMAND_H
 #define CELERYSPOOL_COMMAND_H
 
-/* The query and command language.  A command is a plug-in that registers
- * itself; the table of all of them also is the help. */
+/* The query and command language.  Each command is a plug-in that registers
+ * itself in the list of commands, which help prints. */
 
 #include "daemon.h"
 
@@ -14,10 +14,10 @@
     const char *line;
     char *words[COMMAND_WORDS_MAX];
     size_t word_count;
-    int64_t if_generation; /* -1 for whichever is in force */
-    json_t *result;        /* rows or what was accepted */
+    int64_t if_generation; /* generation to change; -1 for any */
+    json_t *result;        /* rows, or the outcome of a change */
     err_t err;
-    size_t error_word; /* the word that an error points at */
+    size_t error_word; /* index of the word that the error is about */
 } command_context_t;
 
 typedef struct command {
@@ -32,8 +32,9 @@
 void command_register(command_t *command);
 const command_t *command_find(const char *name);
 const command_t *command_next(const command_t *command);
-int command_run(celeryspoold_t *daemon, const char *who, const char *line,
-                int64_t if_generation, json_t **reply, int *status);
+int command_run(celeryspoold_t *daemon, const char *operator_name,
+                const char *line, int64_t if_generation, json_t **reply,
+                int *status);
 int command_error(command_context_t *context, size_t word, const char *fmt,
                   ...) __attribute__((format(printf, 3, 4)));
 json_t *command_fields(command_context_t *context, size_t from);
--- a/plugins/cmd-declare.c
+++ b/plugins/cmd-declare.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* declare, set and remove share their form: KIND NAME [FIELD=VALUE …]. */
+/* declare, set and remove: KIND NAME [FIELD=VALUE …]. */
 
 static int
-change(command_context_t *context, change_kind_t kind)
+commit_change(command_context_t *context, change_kind_t kind)
 {
     if (context->word_count < 3) {
         return command_error(context, context->word_count - 1,
-                             "a kind and a name are needed");
+                             "a kind and a name are required");
     }
     const char *section = config_find_section(context->words[1]);
     if (section == NULL) {
@@ -20,7 +20,7 @@
     }
     if (!str_is_name(context->words[2])) {
         return command_error(context, 2,
-                             "%.40s cannot be a name; allowed: letters, "
+                             "%.40s is not a valid name; allowed: letters, "
                              "digits, dashes, dots, underscores",
                              context->words[2]);
     }
@@ -28,26 +28,26 @@
     if (fields == NULL) {
         return -1;
     }
-    change_t order = {kind, section, context->words[2], fields};
-    return command_commit(context, &order);
+    change_t change = {kind, section, context->words[2], fields};
+    return command_commit(context, &change);
 }
 
 static int
 run_declare(command_context_t *context)
 {
-    return change(context, CHANGE_DECLARE);
+    return commit_change(context, CHANGE_DECLARE);
 }
 
 static int
 run_set(command_context_t *context)
 {
-    return change(context, CHANGE_SET);
+    return commit_change(context, CHANGE_SET);
 }
 
 static int
 run_remove(command_context_t *context)
 {
-    return change(context, CHANGE_REMOVE);
+    return commit_change(context, CHANGE_REMOVE);
 }
 
 static command_t commands[] = {
@@ -58,12 +58,12 @@
      .run = run_declare},
     {.name = "set",
      .usage = "set KIND NAME FIELD=VALUE …",
-     .about = "changes fields of what is declared",
+     .about = "changes fields of a declared object",
      .changes_config = true,
      .run = run_set},
     {.name = "remove",
      .usage = "remove KIND NAME",
-     .about = "takes a declaration back",
+     .about = "removes a declared object",
      .changes_config = true,
      .run = run_remove},
 };
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* explain request ID: why it went where it went.
- * explain backend NAME: why it is not empty yet, or takes no work. */
+/* explain request ID: the events of a request, which show its placement.
+ * explain backend NAME: its availability and the requests running on it. */
 
 #define EVENTS_MAX 200
 
@@ -14,8 +14,8 @@
     if (json_array_size(rows) == 0) {
         json_decref(rows);
         return command_error(context, 2,
-                             "this daemon knows no request %.40s; ask the one "
-                             "that served it",
+                             "no events of request %.40s on this daemon; ask "
+                             "the daemon that served it",
                              context->words[2]);
     }
     context->result = json_pack("{s:o}", "rows", rows);
@@ -37,8 +37,9 @@
     (void)view_get(daemon->view, view_id(daemon->view, backend->name), &state);
     json_t *running = calls_rows(daemon);
     for (size_t i = json_array_size(running); i > 0; i--) {
-        const char *at = json_text(json_array_get(running, i - 1), "backend");
-        if (at == NULL || strcmp(at, backend->name) != 0) {
+        const char *server =
+            json_text(json_array_get(running, i - 1), "backend");
+        if (server == NULL || strcmp(server, backend->name) != 0) {
             (void)json_array_remove(running, i - 1);
         }
     }
@@ -71,7 +72,7 @@
 static command_t command = {
     .name = "explain",
     .usage = "explain request ID | explain backend NAME",
-    .about = "tells why a request was placed so, or a server is not empty",
+    .about = "shows a request's events or a backend server's state",
     .run = run};
 
 __attribute__((constructor)) static void
--- a/plugins/cmd-help.c
+++ b/plugins/cmd-help.c
@@ -1,6 +1,6 @@
 #include "../kernel/command.h"
 
-/* help lists the table of commands. */
+/* help: lists the commands. */
 static int
 run(command_context_t *context)
 {
--- a/plugins/cmd-policy.c
+++ b/plugins/cmd-policy.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* policy NAME and objective tail|hits change how requests are placed. */
+/* policy NAME and objective tail|hits: change how requests are placed. */
 
 static int
-set_top(command_context_t *context, const char *key)
+set_top_level(command_context_t *context, const char *key)
 {
     CLEAN_JSON json_t *fields = json_pack("{s:s}", key, context->words[1]);
-    change_t order = {CHANGE_SET, "top", key, fields};
-    return command_commit(context, &order);
+    change_t change = {CHANGE_SET, "top", key, fields};
+    return command_commit(context, &change);
 }
 
 static int
@@ -22,10 +22,10 @@
     }
     if (context->word_count != 2 || policy_find(context->words[1]) == NULL) {
         return command_error(context, context->word_count > 1 ? 1 : 0,
-                             "a policy is needed; allowed: %s",
+                             "a policy is required; allowed: %s",
                              buf_text(&list));
     }
-    return set_top(context, "policy");
+    return set_top_level(context, "policy");
 }
 
 static int
@@ -34,20 +34,20 @@
     if (context->word_count != 2 || (strcmp(context->words[1], "tail") != 0 &&
                                      strcmp(context->words[1], "hits") != 0)) {
         return command_error(context, context->word_count > 1 ? 1 : 0,
-                             "an objective is needed; allowed: tail, hits");
+                             "an objective is required; allowed: tail, hits");
     }
-    return set_top(context, "objective");
+    return set_top_level(context, "objective");
 }
 
 static command_t commands[] = {
     {.name = "policy",
      .usage = "policy NAME",
-     .about = "chooses how requests are placed",
+     .about = "sets the placement policy",
      .changes_config = true,
      .run = run_policy},
     {.name = "objective",
      .usage = "objective tail|hits",
-     .about = "weighs time to first token, or hits and waste, first",
+     .about = "sets what placement optimizes first: latency or cache hits",
      .changes_config = true,
      .run = run_objective},
 };
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -15,7 +15,7 @@
         backend_state_t state = {0};
         (void)view_get(daemon->view, view_id(daemon->view, backend->name),
                        &state);
-        const char *open = availability_name(
+        const char *availability = availability_name(
             config_backend_availability(config, backend, time_wall_ms()));
         const char *health =
             state.host_leaving                                  ? "leaving"
@@ -26,8 +26,8 @@
         (void)json_array_append_new(
             rows, json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:f,s:f,s:s}",
                             "name", backend->name, "serves", backend->serves,
-                            "dc", backend->dc, "open", open, "health", health,
-                            "version", state.load.version, "running",
+                            "dc", backend->dc, "open", availability, "health",
+                            health, "version", state.load.version, "running",
                             state.load.running, "ours", state.own_running,
                             "wait_ms", view_wait_ms(&state), "slowness",
                             state.slowness, "addr", backend->addr));
@@ -110,14 +110,14 @@
     return rows;
 }
 
-#define CACHE_ROWS 1000
+#define CACHE_ROWS_MAX 1000
 
 static json_t *
 show_cached(celeryspoold_t *daemon)
 {
-    cache_fact_t facts[CACHE_ROWS];
+    cache_fact_t facts[CACHE_ROWS_MAX];
     json_t *rows = json_array();
-    size_t count = cache_map_hottest(daemon->cache, facts, CACHE_ROWS);
+    size_t count = cache_map_hottest(daemon->cache, facts, CACHE_ROWS_MAX);
     for (size_t i = 0; i < count; i++) {
         char key[20];
         backend_state_t state = {0};
@@ -154,9 +154,9 @@
 typedef struct {
     const char *topic;
     json_t *(*rows)(celeryspoold_t *daemon);
-} topic_t;
+} show_topic_t;
 
-static const topic_t topics[] = {
+static const show_topic_t topics[] = {
     {"backends", show_backends}, {"cached", show_cached},
     {"changes", show_changes},   {"members", show_members},
     {"models", show_models},     {"operators", show_operators},
@@ -184,7 +184,7 @@
 static command_t command = {
     .name = "show",
     .usage = "show TOPIC [where FIELD=VALUE …] [sort [-]FIELD] [limit N]",
-    .about = "lists what is running, cached, draining or declared",
+    .about = "lists running requests, cached prefixes and declared objects",
     .run = run};
 
 __attribute__((constructor)) static void
--- a/tests/test-command.c
+++ b/tests/test-command.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static command_context_t
-ask_of(char *line)
+split_line(char *line)
 {
     command_context_t context = {.line = line, .if_generation = -1};
     context.word_count =
@@ -19,7 +19,7 @@
                      "name", "a", "n", 9, "name", "c", "n", 10);
 }
 
-/* The names that a query leaves, in order; or the message. */
+/* The names of the rows that a query returns, in order, or its error. */
 static const char *
 query(const char *text)
 {
@@ -28,7 +28,7 @@
     size_t i;
     const json_t *row;
     str_copy(line, sizeof(line), text);
-    command_context_t context = ask_of(line);
+    command_context_t context = split_line(line);
     json_t *list = rows();
     if (command_query_apply(&context, 0, &list) != 0) {
         (void)snprintf(out, sizeof(out), "%zu: %s", context.error_word,
@@ -57,33 +57,33 @@
 }
 END_TEST
 
-START_TEST(errors_point_at_the_word)
+START_TEST(errors_name_the_word)
 {
-    ck_assert_ptr_nonnull(strstr(query("where x=1"), "1: no field x here"));
+    ck_assert_ptr_nonnull(strstr(query("where x=1"), "1: unknown field x;"));
     ck_assert_ptr_nonnull(strstr(query("limit many"), "1: many is not"));
-    ck_assert_ptr_nonnull(strstr(query("n=1"), "0: n=1 is not understood"));
+    ck_assert_ptr_nonnull(strstr(query("n=1"), "0: unknown clause n=1"));
     ck_assert_ptr_nonnull(strstr(query("where n10"), "1: n10 is not a"));
     ck_assert_ptr_nonnull(strstr(query("sort"), "0: sort needs a field"));
 }
 END_TEST
 
-START_TEST(quotes_keep_blanks)
+START_TEST(quotes_preserve_blanks)
 {
     char line[] = "set  model 'a b' x=\"1 2\"";
-    command_context_t context = ask_of(line);
+    command_context_t context = split_line(line);
     ck_assert_uint_eq(context.word_count, 4);
     ck_assert_str_eq(context.words[2], "a b");
     ck_assert_str_eq(context.words[3], "x=1 2");
     char open[] = "say 'a b";
-    command_context_t bad = ask_of(open);
-    ck_assert_int_eq(bad.err.layer, ERR_COMMAND);
+    command_context_t invalid = split_line(open);
+    ck_assert_int_eq(invalid.err.layer, ERR_COMMAND);
 }
 END_TEST
 
 START_TEST(fields_are_typed_and_keys_are_hashed)
 {
     char line[] = "a=1 b=true c=x version=2 key=geheim";
-    command_context_t context = ask_of(line);
+    command_context_t context = split_line(line);
     CLEAN_JSON json_t *fields = command_fields(&context, 0);
     ck_assert(json_is_integer(json_object_get(fields, "a")));
     ck_assert(json_is_true(json_object_get(fields, "b")));
@@ -92,20 +92,20 @@
     ck_assert_ptr_null(json_object_get(fields, "key"));
     ck_assert_uint_eq(strlen(json_text(fields, "key_hash")), KEY_HASH_LEN);
     char twice[] = "a=1 a=2";
-    command_context_t bad = ask_of(twice);
-    ck_assert_ptr_null(command_fields(&bad, 0));
-    ck_assert_uint_eq(bad.error_word, 1);
+    command_context_t invalid = split_line(twice);
+    ck_assert_ptr_null(command_fields(&invalid, 0));
+    ck_assert_uint_eq(invalid.error_word, 1);
 }
 END_TEST
 
-START_TEST(all_commands_are_registered_in_order)
+START_TEST(commands_are_sorted_by_name)
 {
-    const char *last = "";
+    const char *previous = "";
     size_t count = 0;
-    for (const command_t *at = command_next(NULL); at != NULL;
-         at = command_next(at)) {
-        ck_assert_int_gt(strcmp(at->name, last), 0);
-        last = at->name;
+    for (const command_t *command = command_next(NULL); command != NULL;
+         command = command_next(command)) {
+        ck_assert_int_gt(strcmp(command->name, previous), 0);
+        previous = command->name;
         count++;
     }
     ck_assert_uint_ge(count, 11);
@@ -125,7 +125,7 @@
     return out;
 }
 
-START_TEST(bad_bodies_name_the_field)
+START_TEST(errors_of_bodies_name_the_field)
 {
     ck_assert_str_eq(
         body_error("{\"messages\":[{\"role\":\"u\",\"content\":\"c\"}]}"),
@@ -144,8 +144,9 @@
 }
 END_TEST
 
-/* Bodies that are damaged at random, with a fixed seed, end with a verdict. */
-START_TEST(damaged_bodies_get_a_verdict)
+/* Bodies corrupted at random, with a fixed seed, are parsed or rejected with
+ * an error. */
+START_TEST(corrupted_bodies_are_parsed_or_rejected)
 {
     static const char good[] =
         "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":"
@@ -168,7 +169,7 @@
 }
 END_TEST
 
-TEST_MAIN("command", queries_filter_sort_and_limit, errors_point_at_the_word,
-          quotes_keep_blanks, fields_are_typed_and_keys_are_hashed,
-          all_commands_are_registered_in_order, bad_bodies_name_the_field,
-          damaged_bodies_get_a_verdict)
+TEST_MAIN("command", queries_filter_sort_and_limit, errors_name_the_word,
+          quotes_preserve_blanks, fields_are_typed_and_keys_are_hashed,
+          commands_are_sorted_by_name, errors_of_bodies_name_the_field,
+          corrupted_bodies_are_parsed_or_rejected)
