--- a/kernel/config-change.c
+++ b/kernel/config-change.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Changes to the configuration document.  A change is applied to a copy; the
- * document itself is left as it was. */
+/* Changes to the configuration document.  A change is applied to a copy, which
+ * then gets the next generation and an audit entry. */
 
 static const char *const sections[] = {"workspaces", "models",  "services",
                                        "backends",   "windows", "operators"};
--- a/kernel/config.c
+++ b/kernel/config.c
@@ -546,9 +546,9 @@
 }
 
 const char *
-availability_name(availability_t open)
+availability_name(availability_t availability)
 {
     static const char *const words[] = {"open", "drained", "window-near",
                                         "window"};
-    return words[open];
+    return words[availability];
 }
--- a/kernel/config.h
+++ b/kernel/config.h
@@ -114,7 +114,7 @@
 bool config_host_is_available(const config_t *config, const char *host,
                               const char *dc, int64_t now_ms, int64_t lead_ms);
 int config_duration_max_ms(const config_t *config);
-const char *availability_name(availability_t open);
+const char *availability_name(availability_t availability);
 int config_window_lead_ms(const config_t *config, const backend_t *backend);
 
 /* One change to the configuration, made by an operator. */
@@ -133,7 +133,8 @@
                              const char *operator_name,
                              const char *description);
 bool config_has_change(const json_t *doc, const char *id, int64_t *generation);
-void config_list_warnings(const config_t *config, int64_t now_ms, json_t *out);
+void config_list_warnings(const config_t *config, int64_t now_ms,
+                          json_t *warnings);
 const char *config_find_section(const char *name);
 void config_hash_key(const char *key, char out[KEY_HASH_LEN + 1]);
 
