--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -245,7 +245,7 @@
         take_line(run, run->line.data + at);
         at = (size_t)(end - run->line.data) + 1;
     }
-    buf_drop(&run->line, at);
+    buf_consume(&run->line, at);
 }
 
 static void
--- a/kernel/admin.c
+++ b/kernel/admin.c
@@ -100,7 +100,7 @@
 static void
 handle_events(http_req_t *req)
 {
-    CLEAN_JSON json_t *events = event_recent(
+    CLEAN_JSON json_t *events = event_list_recent(
         http_req_query(req, "request"), http_req_query(req, "backend"), 500);
     http_req_reply_json(req, 200, events);
 }
--- a/kernel/base.h
+++ b/kernel/base.h
@@ -52,7 +52,7 @@
 void log_record(log_level_t level, const char *part, const char *event,
                 const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 void log_flush(void);
-uint64_t log_left_out_total(void);
+uint64_t log_dropped_total(void);
 void log_msg(log_level_t level, const char *part, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 #define log_error(part, ...) log_msg(LOG_ERROR, part, __VA_ARGS__)
@@ -73,7 +73,8 @@
 
 int event_setup(const char *process, const char *path);
 void event_emit(const event_t *event);
-json_t *event_recent(const char *request, const char *backend, size_t max);
+json_t *event_list_recent(const char *request, const char *backend,
+                          size_t max);
 void event_close(void);
 
 /* A growable byte buffer that always keeps a NUL behind its content. */
@@ -87,7 +88,7 @@
 void buf_str(buf_t *buf, const char *text);
 void buf_fmt(buf_t *buf, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
-void buf_drop(buf_t *buf, size_t len);
+void buf_consume(buf_t *buf, size_t len);
 void buf_free(buf_t *buf);
 const char *buf_text(const buf_t *buf);
 
--- a/kernel/buf.c
+++ b/kernel/buf.c
@@ -64,7 +64,7 @@
 
 /* Remove bytes from the front. */
 void
-buf_drop(buf_t *buf, size_t len)
+buf_consume(buf_t *buf, size_t len)
 {
     if (len >= buf->len) {
         buf->len = 0;
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -254,9 +254,9 @@
     if (call->phase == CALL_ENDED) {
         return;
     }
-    series_count(call->series, METRIC_PROMPT_TOKENS, chat->prompt_tokens);
-    series_count(call->series, METRIC_CACHED_TOKENS, chat->cached_tokens);
-    series_count(call->series, METRIC_OUTPUT_TOKENS, chat->emitted);
+    series_increment(call->series, METRIC_PROMPT_TOKENS, chat->prompt_tokens);
+    series_increment(call->series, METRIC_CACHED_TOKENS, chat->cached_tokens);
+    series_increment(call->series, METRIC_OUTPUT_TOKENS, chat->emitted);
     if (chat->stream) {
         finish_stream(call);
     }
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -47,7 +47,7 @@
     }
     call->retry_at_ms = 0;
     if (dispatch_place(call, &candidate)) {
-        series_count(call->series, METRIC_MOVED, 1);
+        series_increment(call->series, METRIC_MOVED, 1);
         call_event(call, "moved", NULL);
         chat_leg_start(call, &candidate);
         return;
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -174,7 +174,7 @@
         note_start(call);
     }
     else {
-        series_observe(call->series, METRIC_GAP,
+        series_observe(call->series, METRIC_TOKEN_GAP,
                        time_mono_us() - call->last_us);
     }
     chat->emitted++;
@@ -200,7 +200,7 @@
         take_event(call, from, (size_t)(end - from));
         at += (size_t)(end - from) + 2;
     }
-    buf_drop(&chat->sse, at);
+    buf_consume(&chat->sse, at);
     call->last_us = time_mono_us();
 }
 
@@ -430,7 +430,7 @@
     leg_t *leg = leg_new(call, true);
     /* From now on the stream is watched, also if its server is frozen. */
     call->phase = call->phase == CALL_QUEUED ? CALL_SENT : call->phase;
-    series_count(call->series, METRIC_RESUMED, 1);
+    series_increment(call->series, METRIC_RESUMED, 1);
     call_event(call, "resumed", NULL);
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?offset=%u",
                    call->addr, call->stream_id, call->u.chat.emitted);
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -51,7 +51,8 @@
     id_random(call->id);
     str_copy(call->workspace, sizeof(call->workspace), workspace->name);
     str_copy(call->target, sizeof(call->target), target);
-    call->series = metrics_series(daemon->metrics, workspace->name, target);
+    call->series =
+        metrics_get_series(daemon->metrics, workspace->name, target);
     str_copy(call->item.workspace, sizeof(call->item.workspace),
              workspace->name);
     call->item.share = workspace->share;
@@ -164,7 +165,7 @@
     call_uncount(call);
     call->phase = CALL_ENDED;
     call->leg++;
-    series_count(call->series, counters[outcome], 1);
+    series_increment(call->series, counters[outcome], 1);
     call_event(call, "ended", outcome_word(outcome));
     (void)pthread_mutex_lock(&daemon->calls_lock);
     CK_LIST_REMOVE(call, entry);
@@ -234,7 +235,7 @@
     if (call->kind == CALL_SERVICE && !call->may_have_run) {
         service_record(call, CLAIM_OP_NOT_RUN, 0);
     }
-    series_count(call->series, METRIC_REFUSED, 1);
+    series_increment(call->series, METRIC_REJECTED, 1);
     call_fail(call, status, code, call_outcome_so_far(call), text);
 }
 
--- a/kernel/event.c
+++ b/kernel/event.c
@@ -80,7 +80,7 @@
 
 /* The newest events, oldest first, of one request or backend server. */
 json_t *
-event_recent(const char *request, const char *backend, size_t max)
+event_list_recent(const char *request, const char *backend, size_t max)
 {
     json_t *found = json_array();
     LOCK_SCOPE(&event_lock);
--- a/kernel/http-server.c
+++ b/kernel/http-server.c
@@ -161,7 +161,7 @@
     LOCK_SCOPE(&req->lock);
     size_t len = req->out.len < UNWRITTEN_MAX ? req->out.len : UNWRITTEN_MAX;
     caller_stream_data(caller, buf_text(&req->out), len);
-    buf_drop(&req->out, len);
+    buf_consume(&req->out, len);
     return req->ended && req->out.len == 0;
 }
 
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -116,7 +116,7 @@
 
 /* Records that were left out since the start. */
 uint64_t
-log_left_out_total(void)
+log_dropped_total(void)
 {
     LOCK_SCOPE(&log_lock);
     return log_left_out_ever;
@@ -144,7 +144,7 @@
         if (wrote <= 0) {
             return;
         }
-        buf_drop(&log_waiting, (size_t)wrote);
+        buf_consume(&log_waiting, (size_t)wrote);
     }
 }
 
--- a/kernel/metrics.c
+++ b/kernel/metrics.c
@@ -12,21 +12,21 @@
 #define SERIES_MAX 4096
 #define BUCKET_UNIT_US 62.5
 
-static const char *const counter_names[METRIC_COUNTERS] = {
+static const char *const counter_names[METRIC_COUNTER_COUNT] = {
     "requests_done_total",    "requests_not_run_total",
     "requests_unknown_total", "requests_refused_total",
     "prompt_tokens_total",    "cached_tokens_total",
     "output_tokens_total",    "streams_resumed_total",
     "streams_moved_total"};
-static const char *const histogram_names[METRIC_HISTOGRAMS] = {
+static const char *const histogram_names[METRIC_HISTOGRAM_COUNT] = {
     "ttft_seconds", "token_gap_seconds", "overhead_seconds"};
 
 struct series {
     CK_LIST_ENTRY(series) entry;
     char workspace[CS_NAME_MAX];
     char target[CS_NAME_MAX];
-    uint64_t counters[METRIC_COUNTERS];
-    histogram_t histograms[METRIC_HISTOGRAMS];
+    uint64_t counters[METRIC_COUNTER_COUNT];
+    histogram_t histograms[METRIC_HISTOGRAM_COUNT];
 };
 
 struct metrics {
@@ -58,7 +58,8 @@
 
 /* The series of a workspace and target, made on first use. */
 series_t *
-metrics_series(metrics_t *metrics, const char *workspace, const char *target)
+metrics_get_series(metrics_t *metrics, const char *workspace,
+                   const char *target)
 {
     LOCK_SCOPE(&metrics->lock);
     series_t *series;
@@ -119,7 +120,7 @@
 }
 
 void
-series_count(series_t *series, metric_counter_t which, uint64_t by)
+series_increment(series_t *series, metric_counter_t which, uint64_t by)
 {
     ck_pr_add_64(&series->counters[which], by);
 }
@@ -150,11 +151,11 @@
 
 /* Write all series in the text exposition form. */
 void
-metrics_text(metrics_t *metrics, buf_t *out)
+metrics_write(metrics_t *metrics, buf_t *out)
 {
     LOCK_SCOPE(&metrics->lock);
     const series_t *series;
-    for (int i = 0; i < METRIC_COUNTERS; i++) {
+    for (int i = 0; i < METRIC_COUNTER_COUNT; i++) {
         buf_fmt(out, "# TYPE celeryspool_%s counter\n", counter_names[i]);
         CK_LIST_FOREACH (series, &metrics->series, entry) {
             buf_fmt(out,
@@ -163,7 +164,7 @@
                     (unsigned long long)series->counters[i]);
         }
     }
-    for (int i = 0; i < METRIC_HISTOGRAMS; i++) {
+    for (int i = 0; i < METRIC_HISTOGRAM_COUNT; i++) {
         buf_fmt(out, "# TYPE celeryspool_%s histogram\n", histogram_names[i]);
         CK_LIST_FOREACH (series, &metrics->series, entry) {
             text_histogram(out, series, (metric_histogram_t)i);
@@ -173,7 +174,7 @@
 
 /* Write one gauge without labels. */
 void
-metrics_gauge(buf_t *out, const char *name, double value)
+metrics_write_gauge(buf_t *out, const char *name, double value)
 {
     buf_fmt(out, "# TYPE celeryspool_%s gauge\nceleryspool_%s %g\n", name,
             name, value);
@@ -181,7 +182,7 @@
 
 /* One row a series, for the query language. */
 json_t *
-metrics_rows(metrics_t *metrics)
+metrics_to_json(metrics_t *metrics)
 {
     LOCK_SCOPE(&metrics->lock);
     json_t *rows = json_array();
@@ -200,7 +201,7 @@
                 (json_int_t)counters[METRIC_DONE], "not_run",
                 (json_int_t)counters[METRIC_NOT_RUN], "unknown",
                 (json_int_t)counters[METRIC_UNKNOWN], "refused",
-                (json_int_t)counters[METRIC_REFUSED], "hit_rate", hits,
+                (json_int_t)counters[METRIC_REJECTED], "hit_rate", hits,
                 "ttft_p50_ms",
                 histogram_quantile(&series->histograms[METRIC_TTFT], 0.5),
                 "ttft_p99_ms",
--- a/kernel/metrics.h
+++ b/kernel/metrics.h
@@ -19,22 +19,22 @@
 
 typedef enum {
     METRIC_TTFT,
-    METRIC_GAP,
+    METRIC_TOKEN_GAP,
     METRIC_OVERHEAD,
-    METRIC_HISTOGRAMS
+    METRIC_HISTOGRAM_COUNT
 } metric_histogram_t;
 
 typedef enum {
     METRIC_DONE,
     METRIC_NOT_RUN,
     METRIC_UNKNOWN,
-    METRIC_REFUSED,
+    METRIC_REJECTED,
     METRIC_PROMPT_TOKENS,
     METRIC_CACHED_TOKENS,
     METRIC_OUTPUT_TOKENS,
     METRIC_RESUMED,
     METRIC_MOVED,
-    METRIC_COUNTERS
+    METRIC_COUNTER_COUNT
 } metric_counter_t;
 
 typedef struct metrics metrics_t;
@@ -42,12 +42,12 @@
 
 metrics_t *metrics_new(void);
 void metrics_free(metrics_t *metrics);
-series_t *metrics_series(metrics_t *metrics, const char *workspace,
-                         const char *target);
+series_t *metrics_get_series(metrics_t *metrics, const char *workspace,
+                             const char *target);
 void series_observe(series_t *series, metric_histogram_t which, int64_t us);
-void series_count(series_t *series, metric_counter_t which, uint64_t by);
-void metrics_text(metrics_t *metrics, buf_t *out);
-void metrics_gauge(buf_t *out, const char *name, double value);
-json_t *metrics_rows(metrics_t *metrics);
+void series_increment(series_t *series, metric_counter_t which, uint64_t by);
+void metrics_write(metrics_t *metrics, buf_t *out);
+void metrics_write_gauge(buf_t *out, const char *name, double value);
+json_t *metrics_to_json(metrics_t *metrics);
 
 #endif
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -100,20 +100,24 @@
     uint64_t sent;
     uint64_t received;
     config_t *config = daemon_config(daemon);
-    metrics_text(daemon->metrics, &text);
-    metrics_gauge(&text, "config_generation", (double)config->generation);
-    metrics_gauge(&text, "calls_running", (double)daemon_running(daemon));
-    metrics_gauge(&text, "calls_waiting", (double)dispatch_waiting(daemon));
-    metrics_gauge(&text, "members_live",
-                  (double)members_live(daemon->members));
-    metrics_gauge(&text, "cache_map_entries",
-                  (double)cache_map_size(daemon->cache));
-    metrics_gauge(&text, "store_calls", (double)store_calls(daemon->store));
+    metrics_write(daemon->metrics, &text);
+    metrics_write_gauge(&text, "config_generation",
+                        (double)config->generation);
+    metrics_write_gauge(&text, "calls_running",
+                        (double)daemon_running(daemon));
+    metrics_write_gauge(&text, "calls_waiting",
+                        (double)dispatch_waiting(daemon));
+    metrics_write_gauge(&text, "members_live",
+                        (double)members_live(daemon->members));
+    metrics_write_gauge(&text, "cache_map_entries",
+                        (double)cache_map_size(daemon->cache));
+    metrics_write_gauge(&text, "store_calls",
+                        (double)store_calls(daemon->store));
     peer_bytes(daemon->peer, &sent, &received);
-    metrics_gauge(&text, "peer_bytes_sent", (double)sent);
-    metrics_gauge(&text, "peer_bytes_received", (double)received);
-    metrics_gauge(&text, "claim_writes",
-                  (double)claim_log_writes(daemon->claims));
+    metrics_write_gauge(&text, "peer_bytes_sent", (double)sent);
+    metrics_write_gauge(&text, "peer_bytes_received", (double)received);
+    metrics_write_gauge(&text, "claim_writes",
+                        (double)claim_log_writes(daemon->claims));
     config_release(config);
     http_req_reply(req, 200, "text/plain; version=0.0.4", buf_text(&text),
                    text.len);
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -10,7 +10,7 @@
 static int
 explain_request(command_ask_t *ask)
 {
-    json_t *rows = event_recent(ask->words[2], NULL, EVENTS_MAX);
+    json_t *rows = event_list_recent(ask->words[2], NULL, EVENTS_MAX);
     if (json_array_size(rows) == 0) {
         json_decref(rows);
         return command_error(ask, 2,
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -134,7 +134,7 @@
 static json_t *
 show_traffic(celeryspoold_t *daemon)
 {
-    return metrics_rows(daemon->metrics);
+    return metrics_to_json(daemon->metrics);
 }
 
 static json_t *
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -96,7 +96,7 @@
     meter_gauge(out, "forecast_spread_ms", relay->forecast.spread_ms);
     meter_gauge(out, "daemons", (double)peers_live(relay->peers));
     meter_gauge(out, "cache_levels", (double)cache_map_size(relay->cache));
-    meter_gauge(out, "log_lines_left_out_total", (double)log_left_out_total());
+    meter_gauge(out, "log_lines_left_out_total", (double)log_dropped_total());
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         server_metrics(server, now, out);
     }
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -110,7 +110,7 @@
         done += event;
         from = 0;
     }
-    buf_drop(&stream->part, done);
+    buf_consume(&stream->part, done);
     stream->overflow = stream->part.len > EVENT_MAX;
     return events;
 }
--- a/tests/test-threads.c
+++ b/tests/test-threads.c
@@ -73,11 +73,11 @@
 {
     shared_t *mine = arg;
     rng_t rng = {mine->seed};
-    series_t *series = metrics_series(mine->metrics, "w", "m");
+    series_t *series = metrics_get_series(mine->metrics, "w", "m");
     for (int i = 0; i < ROUNDS; i++) {
         use_tables(mine, &rng);
         use_queue(mine, &rng);
-        series_count(series, METRIC_DONE, 1);
+        series_increment(series, METRIC_DONE, 1);
         series_observe(series, METRIC_TTFT, i);
     }
     return NULL;
@@ -116,7 +116,7 @@
         free(item);
     }
     ck_assert_uint_eq(pushed, popped);
-    CLEAN_JSON json_t *rows = metrics_rows(shared.metrics);
+    CLEAN_JSON json_t *rows = metrics_to_json(shared.metrics);
     ck_assert_int_eq(json_int(json_array_get(rows, 0), "done", 0),
                      THREADS * ROUNDS);
     backend_state_t state;
