--- a/kernel/base.h
+++ b/kernel/base.h
@@ -1,7 +1,7 @@
 #ifndef CELERYSPOOL_BASE_H
 #define CELERYSPOOL_BASE_H
 
-/* What every part stands on: errors, logs, events, buffers, time. */
+/* Shared utilities: errors, logs, events, buffers, clocks, text, JSON. */
 
 #include <jansson.h>
 #include <pthread.h>
@@ -15,11 +15,11 @@
 #define CS_ADDR_MAX 64
 #define CS_ID_LEN 32
 
-/* Exit statuses that all programs share. */
+/* Exit statuses common to all programs. */
 #define EXIT_SETTINGS 3
 #define EXIT_UNREACHABLE 4
 
-/* The layer that an error belongs to; each turns those from below. */
+/* The layer that reports an error; it wraps the errors of lower layers. */
 typedef enum {
     ERR_NONE,
     ERR_SETTINGS,
@@ -32,7 +32,7 @@
     ERR_COMMAND
 } err_layer_t;
 
-/* An error that is passed down and filled by the callee that fails. */
+/* An error: the caller passes it in and the function that fails fills it. */
 typedef struct {
     err_layer_t layer;
     int code;
@@ -60,14 +60,14 @@
 #define log_info(part, ...) log_msg(LOG_INFO, part, __VA_ARGS__)
 #define log_debug(part, ...) log_msg(LOG_DEBUG, part, __VA_ARGS__)
 
-/* One line of the event log; empty strings are left out. */
+/* One line of the event log; NULL and empty strings are omitted. */
 typedef struct {
     const char *kind;
     const char *request;
     const char *workspace;
     const char *backend;
-    const char *sent;     /* id of a message that leaves here */
-    const char *received; /* id of a message that arrives here */
+    const char *sent;     /* id of the message sent by this process */
+    const char *received; /* id of the message received by this process */
     const char *detail;
 } event_t;
 
@@ -77,7 +77,7 @@
                           size_t max);
 void event_close(void);
 
-/* A growable byte buffer that always keeps a NUL behind its content. */
+/* A growable byte buffer; once it has memory, a NUL follows its content. */
 typedef struct {
     char *data;
     size_t len;
@@ -98,7 +98,8 @@
 int64_t time_wall_ms(void);
 void time_sleep_ms(int ms);
 
-/* A seeded generator, so that tests and loads repeat (splitmix64). */
+/* A seeded random number generator (splitmix64), so that tests and load runs
+ * are reproducible. */
 typedef struct {
     uint64_t state;
 } rng_t;
@@ -115,14 +116,14 @@
 bool utf8_is_valid(const char *data, size_t len);
 void *mem_zalloc(size_t size);
 
-/* Clean-up attributes: the owner's scope frees what it names. */
+/* Cleanup attributes: a variable is freed at the end of its scope. */
 void cleanup_json(json_t **value);
 void cleanup_text(char **text);
 void cleanup_lock(pthread_mutex_t **lock);
 #define CLEAN_JSON __attribute__((cleanup(cleanup_json)))
 #define CLEAN_TEXT __attribute__((cleanup(cleanup_text)))
 #define CLEAN_BUF __attribute__((cleanup(buf_free)))
-/* Holds a mutex to the end of the enclosing block. */
+/* Holds a mutex until the end of the enclosing block. */
 #define LOCK_SCOPE(mutex)                                                \
     pthread_mutex_t *scope_lock __attribute__((cleanup(cleanup_lock))) = \
         (pthread_mutex_lock(mutex), (mutex));                            \
--- a/kernel/err.c
+++ b/kernel/err.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <string.h>
 
-/* Fill the error, if there is one to fill, and return -1 for the caller. */
+/* Fill the error, which may be NULL, and return -1 to be passed on. */
 int
 err_set(err_t *err, err_layer_t layer, int code, const char *fmt, ...)
 {
@@ -19,20 +19,20 @@
     return -1;
 }
 
-/* Turn an error from the layer below into one of this layer, keeping the
- * text of the lower one behind what was tried here. */
+/* Wrap an error of a lower layer: the new text is what failed in this layer,
+ * followed by the text of the lower error.  Returns -1. */
 int
 err_wrap(err_t *err, err_layer_t layer, int code, const char *what)
 {
     if (err == NULL) {
         return -1;
     }
-    char below[sizeof(err->text)];
-    memcpy(below, err->text, sizeof(below));
-    return err_set(err, layer, code, "%.100s: %.200s", what, below);
+    char cause[sizeof(err->text)];
+    memcpy(cause, err->text, sizeof(cause));
+    return err_set(err, layer, code, "%.100s: %.200s", what, cause);
 }
 
-/* The word under which a layer stands in answers and logs. */
+/* The name of a layer in responses and logs. */
 const char *
 err_layer_name(err_layer_t layer)
 {
--- a/kernel/event.c
+++ b/kernel/event.c
@@ -3,20 +3,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The event log keeps the last lines in memory for the administration API
- * and, where a path is set, appends every line to a file.  The schema is
- * fixed: t (wall ms), p (process), n (number in the process), kind, and the
- * optional request, workspace, backend, sent, received, detail. */
+/* The event log keeps the most recent lines in memory for the administration
+ * API and, if a path is set, appends every line to a file.  The schema is
+ * fixed: t (wall clock, ms), p (process), n (sequence number within the
+ * process), kind, and the optional request, workspace, backend, sent,
+ * received, detail. */
 
-#define EVENT_RING 4096
+#define EVENT_RING_SIZE 4096
 
 static pthread_mutex_t event_lock = PTHREAD_MUTEX_INITIALIZER;
 static char event_process[CS_NAME_MAX];
 static FILE *event_file;
-static char *event_ring[EVENT_RING];
-static uint64_t event_number;
+static char *event_ring[EVENT_RING_SIZE];
+static uint64_t event_sequence;
 
-/* Name the process and open its file; an empty path keeps memory only. */
+/* Set the process name and open the file; with an empty path events are kept
+ * in memory only. */
 int
 event_setup(const char *process, const char *path)
 {
@@ -30,31 +32,32 @@
 }
 
 static void
-event_field(json_t *line, const char *key, const char *value)
+event_add_field(json_t *line, const char *key, const char *value)
 {
     if (value != NULL && value[0] != '\0') {
         (void)json_object_set_new(line, key, json_string(value));
     }
 }
 
-/* Append one event; a file line is flushed so that a kill loses none. */
+/* Append one event.  Each line is flushed to the file, so that killing the
+ * process loses no event. */
 void
 event_emit(const event_t *event)
 {
     CLEAN_JSON json_t *line = json_object();
     LOCK_SCOPE(&event_lock);
-    event_number++;
+    event_sequence++;
     (void)json_object_set_new(line, "t", json_integer(time_wall_ms()));
-    event_field(line, "p", event_process);
+    event_add_field(line, "p", event_process);
     (void)json_object_set_new(line, "n",
-                              json_integer((json_int_t)event_number));
-    event_field(line, "kind", event->kind);
-    event_field(line, "request", event->request);
-    event_field(line, "workspace", event->workspace);
-    event_field(line, "backend", event->backend);
-    event_field(line, "sent", event->sent);
-    event_field(line, "received", event->received);
-    event_field(line, "detail", event->detail);
+                              json_integer((json_int_t)event_sequence));
+    event_add_field(line, "kind", event->kind);
+    event_add_field(line, "request", event->request);
+    event_add_field(line, "workspace", event->workspace);
+    event_add_field(line, "backend", event->backend);
+    event_add_field(line, "sent", event->sent);
+    event_add_field(line, "received", event->received);
+    event_add_field(line, "detail", event->detail);
     char *text = json_dumps(line, JSON_COMPACT);
     if (text == NULL) {
         return;
@@ -63,7 +66,7 @@
         (void)fprintf(event_file, "%s\n", text);
         (void)fflush(event_file);
     }
-    size_t slot = event_number % EVENT_RING;
+    size_t slot = event_sequence % EVENT_RING_SIZE;
     free(event_ring[slot]);
     event_ring[slot] = text;
 }
@@ -78,14 +81,17 @@
     return have != NULL && strcmp(have, want) == 0;
 }
 
-/* The newest events, oldest first, of one request or backend server. */
+/* The most recent events, oldest first, of one request and one backend server;
+ * NULL or an empty string matches all. */
 json_t *
 event_list_recent(const char *request, const char *backend, size_t max)
 {
     json_t *found = json_array();
     LOCK_SCOPE(&event_lock);
-    for (uint64_t back = 0; back < EVENT_RING && back < event_number; back++) {
-        const char *text = event_ring[(event_number - back) % EVENT_RING];
+    for (uint64_t age = 0; age < EVENT_RING_SIZE && age < event_sequence;
+         age++) {
+        const char *text =
+            event_ring[(event_sequence - age) % EVENT_RING_SIZE];
         CLEAN_JSON json_t *line = json_loads(text, 0, NULL);
         if (line == NULL || !event_matches(line, "request", request) ||
             !event_matches(line, "backend", backend)) {
@@ -99,7 +105,7 @@
     return found;
 }
 
-/* Close the file and free the ring at the end of the process. */
+/* Close the file and free the events in memory. */
 void
 event_close(void)
 {
@@ -108,9 +114,9 @@
         (void)fclose(event_file);
         event_file = NULL;
     }
-    for (size_t i = 0; i < EVENT_RING; i++) {
+    for (size_t i = 0; i < EVENT_RING_SIZE; i++) {
         free(event_ring[i]);
         event_ring[i] = NULL;
     }
-    event_number = 0;
+    event_sequence = 0;
 }
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -8,29 +8,30 @@
 #include <unistd.h>
 
 /* Lines on standard error, or records on standard output.  Records are
- * gathered and written by log_flush, never blocking: a reader that stalls
- * costs lines, which are counted, and no request. */
+ * buffered and written by log_flush without blocking: if the reader stalls and
+ * the buffer fills, records are dropped and counted, and no request waits. */
 
-/* Records that wait for a reader at most, bytes. */
-#define RECORDS_MAX (256 * 1024)
-/* Records a second at most, bytes: 20 requests a second write about 8 KB.
- * Under a burst the records of what went well are left out first. */
-#define RECORDS_PER_S (96 * 1024)
-/* Of that, only for warnings and errors. */
-#define RECORDS_KEPT_PER_S (32 * 1024)
+/* Bytes of records buffered for the reader. */
+#define PENDING_BYTES_MAX (256 * 1024)
+/* Bytes of records per second: 20 requests a second write about 8 KB.  In a
+ * burst info and debug records are dropped first. */
+#define BYTES_PER_S_MAX (96 * 1024)
+/* The part of it reserved for warnings and errors. */
+#define RESERVED_BYTES_PER_S (32 * 1024)
 
 static pthread_mutex_t log_lock = PTHREAD_MUTEX_INITIALIZER;
 static char log_process[CS_NAME_MAX] = "celeryspool";
 static log_level_t log_threshold = LOG_INFO;
-static const char *const log_words[] = {"error", "warn", "info", "debug"};
+static const char *const log_level_names[] = {"error", "warn", "info",
+                                              "debug"};
 static bool log_records;
-static buf_t log_waiting;
-static int64_t log_second;
-static size_t log_second_bytes;
-static uint64_t log_left_out; /* since the last line that told */
-static uint64_t log_left_out_ever;
+static buf_t log_pending;
+static int64_t log_rate_second;
+static size_t log_rate_bytes;
+static uint64_t log_dropped; /* since the last left-out record */
+static uint64_t log_dropped_since_start;
 
-/* Name the process and the least urgent level that is written. */
+/* Set the process name and the least severe level that is written. */
 void
 log_setup(const char *process, log_level_t level)
 {
@@ -38,7 +39,7 @@
     log_threshold = level;
 }
 
-/* From now on write records to standard output. */
+/* Write records to standard output instead of lines to standard error. */
 void
 log_setup_records(void)
 {
@@ -47,34 +48,36 @@
     log_records = true;
 }
 
-/* The level for a word, or -1. */
+/* The level with this name, or -1. */
 int
 log_level_parse(const char *word)
 {
     for (int i = 0; i < 4; i++) {
-        if (strcmp(word, log_words[i]) == 0) {
+        if (strcmp(word, log_level_names[i]) == 0) {
             return i;
         }
     }
     return -1;
 }
 
-/* Whether a record of this length fits into what may be written now. */
+/* Whether a record of this length is within the rate limit and the buffer;
+ * counts it as dropped if not. */
 static bool
-record_fits(log_level_t level, size_t len, int64_t now_ms)
+record_admit(log_level_t level, size_t len, int64_t now_ms)
 {
-    if (now_ms / 1000 != log_second) {
-        log_second = now_ms / 1000;
-        log_second_bytes = 0;
+    if (now_ms / 1000 != log_rate_second) {
+        log_rate_second = now_ms / 1000;
+        log_rate_bytes = 0;
     }
-    size_t room =
-        level <= LOG_WARN ? RECORDS_PER_S : RECORDS_PER_S - RECORDS_KEPT_PER_S;
-    if (log_second_bytes + len > room || log_waiting.len + len > RECORDS_MAX) {
-        log_left_out++;
-        log_left_out_ever++;
+    size_t limit = level <= LOG_WARN ? BYTES_PER_S_MAX
+                                     : BYTES_PER_S_MAX - RESERVED_BYTES_PER_S;
+    if (log_rate_bytes + len > limit ||
+        log_pending.len + len > PENDING_BYTES_MAX) {
+        log_dropped++;
+        log_dropped_since_start++;
         return false;
     }
-    log_second_bytes += len;
+    log_rate_bytes += len;
     return true;
 }
 
@@ -84,21 +87,22 @@
 {
     char line[1400];
     int64_t now = time_wall_ms();
-    int len = snprintf(
-        line, sizeof(line), "t=%lld level=%s host=%s part=%s event=%s %s\n",
-        (long long)now, log_words[level], log_process, part, event, text);
+    int len = snprintf(line, sizeof(line),
+                       "t=%lld level=%s host=%s part=%s event=%s %s\n",
+                       (long long)now, log_level_names[level], log_process,
+                       part, event, text);
     if (len >= (int)sizeof(line)) {
         len = (int)sizeof(line) - 1;
         line[len - 1] = '\n';
     }
     LOCK_SCOPE(&log_lock);
-    if (record_fits(level, (size_t)len, now)) {
-        buf_add(&log_waiting, line, (size_t)len);
+    if (record_admit(level, (size_t)len, now)) {
+        buf_add(&log_pending, line, (size_t)len);
     }
 }
 
-/* One record: time, level, host, part, event, then the fields of the event as
- * name=value. */
+/* Write one record: time, level, host, part and event, then the fields of the
+ * event as name=value. */
 void
 log_record(log_level_t level, const char *part, const char *event,
            const char *fmt, ...)
@@ -114,37 +118,37 @@
     record_add(level, part, event, text);
 }
 
-/* Records that were left out since the start. */
+/* The number of records dropped since the process started. */
 uint64_t
 log_dropped_total(void)
 {
     LOCK_SCOPE(&log_lock);
-    return log_left_out_ever;
+    return log_dropped_since_start;
 }
 
-/* Write what waits, as much as the reader takes. */
+/* Write as many of the buffered records as the reader accepts. */
 void
 log_flush(void)
 {
     LOCK_SCOPE(&log_lock);
-    if (log_left_out > 0 && log_waiting.len < RECORDS_MAX / 2) {
-        buf_fmt(&log_waiting,
+    if (log_dropped > 0 && log_pending.len < PENDING_BYTES_MAX / 2) {
+        buf_fmt(&log_pending,
                 "t=%lld level=warn host=%s part=log event=left-out "
                 "lines=%llu\n",
                 (long long)time_wall_ms(), log_process,
-                (unsigned long long)log_left_out);
-        log_left_out = 0;
+                (unsigned long long)log_dropped);
+        log_dropped = 0;
     }
-    while (log_waiting.len > 0) {
+    while (log_pending.len > 0) {
         ssize_t wrote =
-            write(STDOUT_FILENO, log_waiting.data, log_waiting.len);
+            write(STDOUT_FILENO, log_pending.data, log_pending.len);
         if (wrote < 0 && errno == EINTR) {
             continue;
         }
         if (wrote <= 0) {
             return;
         }
-        buf_consume(&log_waiting, (size_t)wrote);
+        buf_consume(&log_pending, (size_t)wrote);
     }
 }
 
@@ -160,11 +164,11 @@
 
     LOCK_SCOPE(&log_lock);
     (void)fprintf(stderr, "%s.%03dZ %s %s %s: %s\n", stamp, (int)(now % 1000),
-                  log_words[level], log_process, part, text);
+                  log_level_names[level], log_process, part, text);
 }
 
-/* Write one line to standard error: time, level, process, part, sentence; or
- * a record that holds the sentence. */
+/* Write a message: one line on standard error with time, level, process and
+ * part, or a record with the message as its text field. */
 void
 log_msg(log_level_t level, const char *part, const char *fmt, ...)
 {
--- a/kernel/util.c
+++ b/kernel/util.c
@@ -30,22 +30,22 @@
     return time_read_us(CLOCK_MONOTONIC);
 }
 
-/* A clock that also counts while the host is suspended, for what others
- * count on meanwhile. */
+/* Milliseconds of a monotonic clock that also runs while the host is
+ * suspended, for leases, which expire for other hosts meanwhile. */
 int64_t
 time_boot_ms(void)
 {
     return time_read_us(CLOCK_BOOTTIME) / 1000;
 }
 
-/* Milliseconds since 1970, for logs and dates that operators give. */
+/* Milliseconds since 1970, for logs and for dates set by operators. */
 int64_t
 time_wall_ms(void)
 {
     return time_read_us(CLOCK_REALTIME) / 1000;
 }
 
-/* Sleep; a signal may end it early. */
+/* Sleep; a signal may end the sleep early. */
 void
 time_sleep_ms(int ms)
 {
@@ -87,7 +87,8 @@
     (void)sodium_bin2hex(out, CS_ID_LEN + 1, raw, sizeof(raw));
 }
 
-/* Copy text into a fixed array, cutting what does not fit. */
+/* Copy text into a fixed array, truncating it if it does not fit; NULL is
+ * copied as an empty string. */
 void
 str_copy(char *dst, size_t size, const char *src)
 {
@@ -101,7 +102,7 @@
     dst[len] = '\0';
 }
 
-/* A hash of text that is equal in every process. */
+/* A hash of text that is the same in every process. */
 uint64_t
 str_hash(const char *text, uint64_t seed)
 {
@@ -145,9 +146,9 @@
            port < 65536;
 }
 
-/* The length of one UTF-8 sequence at the start of data, 0 if it is bad. */
+/* The length of the UTF-8 sequence at the start of data, 0 if invalid. */
 static size_t
-utf8_sequence(const unsigned char *data, size_t len)
+utf8_sequence_len(const unsigned char *data, size_t len)
 {
     unsigned char lead = data[0];
     size_t want = lead < 0x80   ? 1
@@ -166,9 +167,9 @@
     }
     bool overlong =
         (lead == 0xe0 && data[1] < 0xa0) || (lead == 0xf0 && data[1] < 0x90);
-    bool beyond =
+    bool out_of_range =
         (lead == 0xed && data[1] > 0x9f) || (lead == 0xf4 && data[1] > 0x8f);
-    return overlong || beyond ? 0 : want;
+    return overlong || out_of_range ? 0 : want;
 }
 
 /* Whether the bytes are well-formed UTF-8 (RFC 3629). */
@@ -178,7 +179,7 @@
     size_t at = 0;
     while (at < len) {
         size_t step =
-            utf8_sequence((const unsigned char *)data + at, len - at);
+            utf8_sequence_len((const unsigned char *)data + at, len - at);
         if (step == 0) {
             return false;
         }
@@ -187,7 +188,7 @@
     return true;
 }
 
-/* Zeroed memory; running out ends the process. */
+/* Allocate zeroed memory; aborts the process if there is none. */
 void *
 mem_zalloc(size_t size)
 {
@@ -223,7 +224,7 @@
     return json_string_value(json_object_get(object, key));
 }
 
-/* Whether a member is there and is this text. */
+/* Whether a member is a string equal to want. */
 bool
 json_text_is(const json_t *object, const char *key, const char *want)
 {
@@ -231,7 +232,7 @@
     return have != NULL && strcmp(have, want) == 0;
 }
 
-/* A member's whole number, or the fallback. */
+/* A member's integer, or the fallback if it is absent or not an integer. */
 int64_t
 json_int(const json_t *object, const char *key, int64_t fallback)
 {
@@ -239,7 +240,7 @@
     return json_is_integer(value) ? json_integer_value(value) : fallback;
 }
 
-/* Whether a member is there and true. */
+/* Whether a member is present and true. */
 bool
 json_flag(const json_t *object, const char *key)
 {
