--- a/kernel/metrics.c
+++ b/kernel/metrics.c
@@ -6,8 +6,9 @@
 #include <string.h>
 
 /* A series belongs to one workspace and one model or service.  Series are
- * made under the lock and live as long as the process; counting takes no
- * lock.  Past SERIES_MAX all others share one, so memory is bounded. */
+ * created under the lock and live as long as the table; counting takes no
+ * lock.  Once SERIES_MAX exist, every lookup returns the series "others", so
+ * that memory is bounded. */
 
 #define SERIES_MAX 4096
 #define BUCKET_UNIT_US 62.5
@@ -32,10 +33,10 @@
 struct metrics {
     pthread_mutex_t lock;
     size_t count;
-    CK_LIST_HEAD(all_series, series) series;
+    CK_LIST_HEAD(series_list, series) series;
 };
 
-/* An empty table. */
+/* Create an empty table. */
 metrics_t *
 metrics_new(void)
 {
@@ -56,7 +57,7 @@
     free(metrics);
 }
 
-/* The series of a workspace and target, made on first use. */
+/* The series of a workspace and target, created on first use. */
 series_t *
 metrics_get_series(metrics_t *metrics, const char *workspace,
                    const char *target)
@@ -81,7 +82,7 @@
     return series;
 }
 
-/* Count a span of time. */
+/* Record a duration. */
 void
 histogram_add(histogram_t *histogram, int64_t us)
 {
@@ -100,12 +101,12 @@
 double
 histogram_quantile(const histogram_t *histogram, double quantile)
 {
-    double want = quantile * (double)histogram->count;
+    double rank = quantile * (double)histogram->count;
     double bound = BUCKET_UNIT_US;
     uint64_t seen = 0;
     for (unsigned i = 0; i < HISTOGRAM_BUCKETS; i++) {
         seen += histogram->buckets[i];
-        if (seen > 0 && (double)seen >= want) {
+        if (seen > 0 && (double)seen >= rank) {
             break;
         }
         bound *= 2;
@@ -120,13 +121,13 @@
 }
 
 void
-series_increment(series_t *series, metric_counter_t which, uint64_t by)
+series_increment(series_t *series, metric_counter_t which, uint64_t increment)
 {
-    ck_pr_add_64(&series->counters[which], by);
+    ck_pr_add_64(&series->counters[which], increment);
 }
 
 static void
-text_histogram(buf_t *out, const series_t *series, metric_histogram_t which)
+write_histogram(buf_t *out, const series_t *series, metric_histogram_t which)
 {
     const histogram_t *histogram = &series->histograms[which];
     const char *name = histogram_names[which];
@@ -149,7 +150,7 @@
             (unsigned long long)histogram->count);
 }
 
-/* Write all series in the text exposition form. */
+/* Write all series in the Prometheus text exposition format. */
 void
 metrics_write(metrics_t *metrics, buf_t *out)
 {
@@ -167,7 +168,7 @@
     for (int i = 0; i < METRIC_HISTOGRAM_COUNT; i++) {
         buf_fmt(out, "# TYPE celeryspool_%s histogram\n", histogram_names[i]);
         CK_LIST_FOREACH (series, &metrics->series, entry) {
-            text_histogram(out, series, (metric_histogram_t)i);
+            write_histogram(out, series, (metric_histogram_t)i);
         }
     }
 }
@@ -180,7 +181,7 @@
             name, value);
 }
 
-/* One row a series, for the query language. */
+/* One row per series, for the query language. */
 json_t *
 metrics_to_json(metrics_t *metrics)
 {
@@ -190,9 +191,10 @@
     CK_LIST_FOREACH (series, &metrics->series, entry) {
         const uint64_t *counters = series->counters;
         uint64_t prompt = counters[METRIC_PROMPT_TOKENS];
-        double hits = prompt == 0 ? 0
-                                  : (double)counters[METRIC_CACHED_TOKENS] /
-                                        (double)prompt;
+        double hit_rate =
+            prompt == 0
+                ? 0
+                : (double)counters[METRIC_CACHED_TOKENS] / (double)prompt;
         (void)json_array_append_new(
             rows,
             json_pack(
@@ -201,7 +203,7 @@
                 (json_int_t)counters[METRIC_DONE], "not_run",
                 (json_int_t)counters[METRIC_NOT_RUN], "unknown",
                 (json_int_t)counters[METRIC_UNKNOWN], "refused",
-                (json_int_t)counters[METRIC_REJECTED], "hit_rate", hits,
+                (json_int_t)counters[METRIC_REJECTED], "hit_rate", hit_rate,
                 "ttft_p50_ms",
                 histogram_quantile(&series->histograms[METRIC_TTFT], 0.5),
                 "ttft_p99_ms",
--- a/kernel/metrics.h
+++ b/kernel/metrics.h
@@ -1,13 +1,14 @@
 #ifndef CELERYSPOOL_METRICS_H
 #define CELERYSPOOL_METRICS_H
 
-/* Counters and histograms of our own, in the usual text form. */
+/* The daemon's counters and histograms, in the Prometheus text format. */
 
 #include "base.h"
 
 #define HISTOGRAM_BUCKETS 28
 
-/* Bucket i counts values up to 2^i / 16 ms. */
+/* Bucket i counts the values up to 2^i / 16 ms that no smaller bucket counts;
+ * the last one also counts all larger values. */
 typedef struct {
     uint64_t buckets[HISTOGRAM_BUCKETS];
     uint64_t count;
@@ -45,7 +46,8 @@
 series_t *metrics_get_series(metrics_t *metrics, const char *workspace,
                              const char *target);
 void series_observe(series_t *series, metric_histogram_t which, int64_t us);
-void series_increment(series_t *series, metric_counter_t which, uint64_t by);
+void series_increment(series_t *series, metric_counter_t which,
+                      uint64_t increment);
 void metrics_write(metrics_t *metrics, buf_t *out);
 void metrics_write_gauge(buf_t *out, const char *name, double value);
 json_t *metrics_to_json(metrics_t *metrics);
