--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -5,17 +5,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Start, run and stop of the daemon. */
+/* Starting, running and stopping the daemon. */
 
 #define TICK_MS 10
-#define WATCH_EVERY 5 /* ticks */
-#define PULL_EVERY 25
-#define CACHE_ENTRIES 65536
+#define CHECK_INTERVAL_TICKS 5
+#define PULL_INTERVAL_TICKS 25
+#define CACHE_ENTRIES_MAX 65536
 #define CLAIM_SHARDS 16
 #define POOL_THREADS 4
-#define SNAPSHOT_EVERY_MS 5000
-#define CONFIG_WAIT_MS 3000
-#define PEER_PULL_MS 1000
+#define SNAPSHOT_INTERVAL_MS 5000
+#define CONFIG_WAIT_MAX_MS 3000
+#define PEER_PULL_TIMEOUT_MS 1000
 
 static void
 daemon_set_state(celeryspoold_t *daemon, daemon_state_t state)
@@ -42,7 +42,7 @@
     daemon->config_heard_ms = time_mono_ms();
     retry_budget_init(&daemon->retries);
     daemon->view = view_new();
-    daemon->cache = cache_map_new(CACHE_ENTRIES);
+    daemon->cache = cache_map_new(CACHE_ENTRIES_MAX);
     daemon->members =
         members_new(&self, str_hash(self.name, daemon->incarnation));
     daemon->metrics = metrics_new();
@@ -52,7 +52,7 @@
 }
 
 static void
-init_edges(celeryspoold_t *daemon)
+init_services(celeryspoold_t *daemon)
 {
     const settings_t *settings = &daemon->settings;
     daemon->client = http_client_new((unsigned)settings->relay_threads);
@@ -62,10 +62,11 @@
     daemon->pool = pool_new(POOL_THREADS);
 }
 
-/* Calls that are with a server are looked at; they are held meanwhile, so
- * that no call's lock is taken under the list's. */
+/* Check the chat calls for silent backend servers and for retries that are
+ * due.  A reference to each call is held meanwhile, so that no call's lock is
+ * taken under the lock of the list. */
 static void
-watch_calls(celeryspoold_t *daemon)
+check_chat_calls(celeryspoold_t *daemon)
 {
     int64_t now = time_mono_us();
     (void)pthread_mutex_lock(&daemon->calls_lock);
@@ -86,8 +87,8 @@
     free(calls);
 }
 
-/* A peer that has a newer configuration is asked for it, so that a change
- * spreads also while the store is down. */
+/* Fetch the configuration from a peer that has a newer one, so that changes
+ * are disseminated also while the store is down. */
 static void
 pull_config(void *arg)
 {
@@ -95,25 +96,26 @@
     char peer[CS_ADDR_MAX];
     err_t err = {0};
     config_t *config = daemon_config(daemon);
-    int64_t mine = config->generation;
+    int64_t own_generation = config->generation;
     config_release(config);
-    int64_t theirs = members_generation(daemon->members, peer);
-    if (theirs >= 0) {
+    int64_t peer_generation = members_generation(daemon->members, peer);
+    if (peer_generation >= 0) {
         (void)pthread_mutex_lock(&daemon->config_lock);
         daemon->config_heard_ms = time_mono_ms();
         (void)pthread_mutex_unlock(&daemon->config_lock);
     }
-    if (theirs <= mine) {
+    if (peer_generation <= own_generation) {
         return;
     }
-    CLEAN_JSON json_t *doc = peer_ask(peer, "config", PEER_PULL_MS, &err);
+    CLEAN_JSON json_t *doc =
+        peer_ask(peer, "config", PEER_PULL_TIMEOUT_MS, &err);
     if (doc != NULL) {
         (void)config_sync_adopt(daemon, doc, 0, peer);
     }
 }
 
 static void
-keep_snapshot(void *arg)
+save_snapshot(void *arg)
 {
     celeryspoold_t *daemon = arg;
     if (members_duty(daemon->members, "snapshot")) {
@@ -122,43 +124,43 @@
 }
 
 static void
-ready_when_warm(celeryspoold_t *daemon)
+set_ready_when_warm(celeryspoold_t *daemon)
 {
     config_t *config = daemon_config(daemon);
-    bool known = config->generation > 0;
+    bool has_config = config->generation > 0;
     config_release(config);
-    int64_t age = time_mono_ms() - daemon->started_ms;
+    int64_t uptime_ms = time_mono_ms() - daemon->started_ms;
     if (daemon_state(daemon) == STATE_WARMING &&
-        (known || age > CONFIG_WAIT_MS)) {
+        (has_config || uptime_ms > CONFIG_WAIT_MAX_MS)) {
         daemon_set_state(daemon, STATE_READY);
-        log_info("daemon", "Ready after %lld ms.", (long long)age);
+        log_info("daemon", "Ready after %lld ms.", (long long)uptime_ms);
         event_emit(&(event_t){.kind = "daemon-ready"});
     }
 }
 
-/* Readiness goes first, so that the balancer sends nothing new, while
- * whatever still arrives is served. */
+/* Start draining: the daemon reports not ready, so that the load balancer
+ * stops sending requests; those that still arrive are served. */
 static void
-begin_leaving(celeryspoold_t *daemon)
+start_draining(celeryspoold_t *daemon)
 {
     daemon_set_state(daemon, STATE_LEAVING);
-    log_info("daemon", "Leaving; %zu requests are running.",
+    log_info("daemon", "Draining; %zu requests are running.",
              daemon_running(daemon));
     event_emit(&(event_t){.kind = "daemon-leaving"});
 }
 
 static bool
-stop_is_ordered(celeryspoold_t *daemon)
+stop_is_requested(celeryspoold_t *daemon)
 {
     return __atomic_load_n(&daemon->stop_ordered, __ATOMIC_ACQUIRE);
 }
 
-/* A window of this host or its data centre: leave the balancer one longest
- * request before it, so that nothing runs here when it begins, and come back
- * behind it if the process is still there.  An ordered stop is not undone,
- * also when the order comes between the look and the change. */
+/* Drain for a maintenance window of this host or its data centre: from the
+ * maximum request duration before the window, so that no request runs when it
+ * begins, until it ends.  A shutdown is not undone, even if it is requested
+ * between the check and the change of state; hence the second check. */
 static void
-leave_for_window(celeryspoold_t *daemon)
+drain_for_window(celeryspoold_t *daemon)
 {
     config_t *config = daemon_config(daemon);
     bool clear =
@@ -167,13 +169,13 @@
     config_release(config);
     if (!clear && daemon_state(daemon) == STATE_READY) {
         daemon->left_for_window = true;
-        begin_leaving(daemon);
+        start_draining(daemon);
     }
-    else if (clear && daemon->left_for_window && !stop_is_ordered(daemon)) {
+    else if (clear && daemon->left_for_window && !stop_is_requested(daemon)) {
         daemon->left_for_window = false;
         daemon_set_state(daemon, STATE_READY);
-        log_info("daemon", "The window is over; ready again.");
-        if (stop_is_ordered(daemon)) {
+        log_info("daemon", "The maintenance window is over; ready again.");
+        if (stop_is_requested(daemon)) {
             daemon_set_state(daemon, STATE_LEAVING);
         }
     }
@@ -184,23 +186,23 @@
 {
     celeryspoold_t *daemon = arg;
     unsigned tick = 0;
-    int64_t snapshot_at = time_mono_ms() + SNAPSHOT_EVERY_MS;
+    int64_t snapshot_due_ms = time_mono_ms() + SNAPSHOT_INTERVAL_MS;
     while (!__atomic_load_n(&daemon->stopping, __ATOMIC_ACQUIRE)) {
         tick++;
         dispatch_tick(daemon);
         claim_log_tick(daemon->claims);
         peer_tick(daemon->peer);
-        if (tick % WATCH_EVERY == 0) {
-            watch_calls(daemon);
-            ready_when_warm(daemon);
-            leave_for_window(daemon);
+        if (tick % CHECK_INTERVAL_TICKS == 0) {
+            check_chat_calls(daemon);
+            set_ready_when_warm(daemon);
+            drain_for_window(daemon);
         }
-        if (tick % PULL_EVERY == 0) {
+        if (tick % PULL_INTERVAL_TICKS == 0) {
             pool_submit(daemon->pool, pull_config, daemon);
         }
-        if (time_mono_ms() >= snapshot_at) {
-            snapshot_at = time_mono_ms() + SNAPSHOT_EVERY_MS;
-            pool_submit(daemon->pool, keep_snapshot, daemon);
+        if (time_mono_ms() >= snapshot_due_ms) {
+            snapshot_due_ms = time_mono_ms() + SNAPSHOT_INTERVAL_MS;
+            pool_submit(daemon->pool, save_snapshot, daemon);
         }
         time_sleep_ms(TICK_MS);
     }
@@ -208,12 +210,12 @@
 }
 
 static int
-start_edges(celeryspoold_t *daemon, err_t *err)
+start_services(celeryspoold_t *daemon, err_t *err)
 {
     const settings_t *settings = &daemon->settings;
     daemon->peer = peer_start(daemon, err);
     if (daemon->peer == NULL) {
-        return err_wrap(err, ERR_SETTINGS, 0, "peers cannot be served");
+        return err_wrap(err, ERR_SETTINGS, 0, "cannot start the peer service");
     }
     snapshot_warm(daemon);
     (void)pthread_create(&daemon->ticker, NULL, ticker_run, daemon);
@@ -230,11 +232,11 @@
         .arg = daemon};
     daemon->server = http_server_start(&opts, err);
     return daemon->server == NULL
-               ? err_wrap(err, ERR_SETTINGS, 0, "callers cannot be served")
+               ? err_wrap(err, ERR_SETTINGS, 0, "cannot start the HTTP server")
                : 0;
 }
 
-/* Start a daemon; NULL with an error where an address cannot be had. */
+/* Start a daemon; NULL with an error if it cannot listen on an address. */
 celeryspoold_t *
 daemon_start(const settings_t *settings, err_t *err)
 {
@@ -244,8 +246,8 @@
     daemon->started_ms = time_mono_ms();
     event_emit(&(event_t){.kind = "daemon-started"});
     init_tables(daemon);
-    init_edges(daemon);
-    if (start_edges(daemon, err) != 0) {
+    init_services(daemon);
+    if (start_services(daemon, err) != 0) {
         return NULL;
     }
     log_info("daemon", "Listening on %s, peers on %s.", settings->http,
@@ -253,7 +255,7 @@
     return daemon;
 }
 
-/* How far this daemon is between its start and its end. */
+/* Whether the daemon is warming up, ready or draining. */
 daemon_state_t
 daemon_state(const celeryspoold_t *daemon)
 {
@@ -268,26 +270,29 @@
     return daemon->call_count;
 }
 
-/* A stop was ordered.  Said again, it only tells what a stop now would cut. */
+/* Start a graceful shutdown.  Later calls only log how many requests ending
+ * the process now would abort. */
 void
 daemon_leave(celeryspoold_t *daemon)
 {
     if (__atomic_exchange_n(&daemon->stop_ordered, true, __ATOMIC_ACQ_REL)) {
-        log_warn("daemon", "%zu requests would be cut by a stop now.",
-                 daemon_running(daemon));
+        log_warn(
+            "daemon",
+            "Still draining; ending the process now would abort %zu requests.",
+            daemon_running(daemon));
         return;
     }
-    begin_leaving(daemon);
+    start_draining(daemon);
 }
 
-/* Whether no request is left. */
+/* Whether all requests have ended. */
 bool
 daemon_left(celeryspoold_t *daemon)
 {
     return daemon_running(daemon) == 0;
 }
 
-/* Stop and free everything; the callers have been served before. */
+/* Stop the threads and free everything, after all requests have ended. */
 void
 daemon_stop(celeryspoold_t *daemon)
 {
