--- a/daemons/celeryspool-timeline.c
+++ b/daemons/celeryspool-timeline.c
@@ -4,12 +4,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Merges the event logs of all processes into one time line.  Within a
- * process its own numbers give the order; between processes a message's
- * arrival comes behind its sending, whatever the clocks say; where neither
- * tells, the wall clock does. */
+/* Merges the event logs of several processes into one timeline.  The events of
+ * one process keep the order of its log; a message is received after it was
+ * sent, whatever the clocks say; otherwise the wall clock decides. */
 
-#define LINE_MAX_BYTES 8192
+#define LINE_SIZE 8192
 
 const char *argp_program_version = "celeryspool-timeline " CS_VERSION;
 
@@ -19,10 +18,10 @@
     const char *backend;
     const char *kind;
     bool json;
-    bool picture;
+    bool columns;
     char **files;
     int file_count;
-} line_args_t;
+} timeline_args_t;
 
 static const struct argp_option options[] = {
     {"request", 'r', "ID", 0, "only this request", 0},
@@ -37,7 +36,7 @@
 static error_t
 parse_option(int key, char *arg, struct argp_state *state)
 {
-    line_args_t *args = state->input;
+    timeline_args_t *args = state->input;
     switch (key) {
         case 'r':
             args->request = arg;
@@ -55,7 +54,7 @@
             args->json = true;
             return 0;
         case 'p':
-            args->picture = true;
+            args->columns = true;
             return 0;
         case ARGP_KEY_ARGS:
             args->files = state->argv + state->next;
@@ -70,43 +69,43 @@
 }
 
 static const struct argp arguments = {
-    options, parse_option, "FILE…", "Merges event logs into one time line.",
+    options, parse_option, "FILE…", "Merges event logs into one timeline.",
     NULL,    NULL,         NULL};
 
 /* One event log, read line by line. */
 typedef struct {
     FILE *file;
-    json_t *head; /* the next event, or NULL at the end */
+    json_t *next; /* the next event, or NULL at the end */
 } source_t;
 
 static void
 source_advance(source_t *source)
 {
-    char line[LINE_MAX_BYTES];
-    json_decref(source->head);
-    source->head = NULL;
-    while (source->head == NULL && source->file != NULL &&
+    char line[LINE_SIZE];
+    json_decref(source->next);
+    source->next = NULL;
+    while (source->next == NULL && source->file != NULL &&
            fgets(line, sizeof(line), source->file) != NULL) {
-        source->head = json_loads(line, 0, NULL);
+        source->next = json_loads(line, 0, NULL);
     }
 }
 
-/* Ids of messages that some log says were sent, and of those put out so far,
- * tell whether an arrival has to wait. */
+/* Ids of all messages sent according to the logs, and of those whose sending
+ * is already in the output. */
 typedef struct {
-    json_t *known;
-    json_t *sent;
+    json_t *all_sent;
+    json_t *emitted;
 } messages_t;
 
 static void
 collect_sent(messages_t *messages, const char *path)
 {
     source_t source = {.file = fopen(path, "re")};
-    for (source_advance(&source); source.head != NULL;
+    for (source_advance(&source); source.next != NULL;
          source_advance(&source)) {
-        const char *id = json_text(source.head, "sent");
+        const char *id = json_text(source.next, "sent");
         if (id != NULL) {
-            (void)json_object_set_new(messages->known, id, json_true());
+            (void)json_object_set_new(messages->all_sent, id, json_true());
         }
     }
     if (source.file != NULL) {
@@ -118,25 +117,26 @@
 must_wait(const messages_t *messages, const json_t *event)
 {
     const char *id = json_text(event, "received");
-    return id != NULL && json_object_get(messages->known, id) != NULL &&
-           json_object_get(messages->sent, id) == NULL;
+    return id != NULL && json_object_get(messages->all_sent, id) != NULL &&
+           json_object_get(messages->emitted, id) == NULL;
 }
 
-/* The log whose next event is the earliest that need not wait; if all wait,
- * which a torn log can bring about, the earliest of all. */
+/* The log with the earliest next event that need not wait for the sending of
+ * its message.  If all have to wait, which an incomplete log can cause, the
+ * log with the earliest event. */
 static source_t *
-pick(source_t *sources, int count, const messages_t *messages)
+pick_source(source_t *sources, int count, const messages_t *messages)
 {
     source_t *best = NULL;
     bool best_waits = true;
     for (int i = 0; i < count; i++) {
         source_t *source = &sources[i];
-        if (source->head == NULL) {
+        if (source->next == NULL) {
             continue;
         }
-        bool waits = must_wait(messages, source->head);
-        bool earlier = best == NULL || json_int(source->head, "t", 0) <
-                                           json_int(best->head, "t", 0);
+        bool waits = must_wait(messages, source->next);
+        bool earlier = best == NULL || json_int(source->next, "t", 0) <
+                                           json_int(best->next, "t", 0);
         if (best == NULL || (best_waits && !waits) ||
             (waits == best_waits && earlier)) {
             best = source;
@@ -154,7 +154,7 @@
 }
 
 static bool
-is_wanted(const line_args_t *args, const json_t *event)
+matches_filters(const timeline_args_t *args, const json_t *event)
 {
     return field_is(event, "request", args->request) &&
            field_is(event, "workspace", args->workspace) &&
@@ -163,14 +163,14 @@
 }
 
 static const char *
-text_of(const json_t *event, const char *key)
+text_or_empty(const json_t *event, const char *key)
 {
     const char *text = json_text(event, key);
     return text == NULL ? "" : text;
 }
 
 static void
-print_event(const line_args_t *args, const json_t *event, int64_t first_ms,
+print_event(const timeline_args_t *args, const json_t *event, int64_t first_ms,
             int column)
 {
     if (args->json) {
@@ -179,32 +179,34 @@
         return;
     }
     long long at = (long long)(json_int(event, "t", 0) - first_ms);
-    if (args->picture) {
+    if (args->columns) {
         (void)printf("%8lld  %*s* %s %s %s\n", at, column * 4, "",
-                     text_of(event, "kind"), text_of(event, "backend"),
-                     text_of(event, "detail"));
+                     text_or_empty(event, "kind"),
+                     text_or_empty(event, "backend"),
+                     text_or_empty(event, "detail"));
         return;
     }
-    (void)printf("%8lld  %-12s %-14s %-33s %-12s %s\n", at,
-                 text_of(event, "p"), text_of(event, "kind"),
-                 text_of(event, "request"), text_of(event, "backend"),
-                 text_of(event, "detail"));
+    (void)printf(
+        "%8lld  %-12s %-14s %-33s %-12s %s\n", at, text_or_empty(event, "p"),
+        text_or_empty(event, "kind"), text_or_empty(event, "request"),
+        text_or_empty(event, "backend"), text_or_empty(event, "detail"));
 }
 
 static void
-merge(const line_args_t *args, source_t *sources, messages_t *messages)
+merge(const timeline_args_t *args, source_t *sources, messages_t *messages)
 {
     int64_t first_ms = -1;
     source_t *source;
-    while ((source = pick(sources, args->file_count, messages)) != NULL) {
-        const char *sent = json_text(source->head, "sent");
+    while ((source = pick_source(sources, args->file_count, messages)) !=
+           NULL) {
+        const char *sent = json_text(source->next, "sent");
         if (sent != NULL) {
-            (void)json_object_set_new(messages->sent, sent, json_true());
+            (void)json_object_set_new(messages->emitted, sent, json_true());
         }
-        if (is_wanted(args, source->head)) {
+        if (matches_filters(args, source->next)) {
             first_ms =
-                first_ms < 0 ? json_int(source->head, "t", 0) : first_ms;
-            print_event(args, source->head, first_ms, (int)(source - sources));
+                first_ms < 0 ? json_int(source->next, "t", 0) : first_ms;
+            print_event(args, source->next, first_ms, (int)(source - sources));
         }
         source_advance(source);
     }
@@ -213,7 +215,7 @@
 int
 main(int argc, char **argv)
 {
-    line_args_t args = {0};
+    timeline_args_t args = {0};
     messages_t messages = {json_object(), json_object()};
     (void)argp_parse(&arguments, argc, argv, 0, NULL, &args);
     source_t *sources = mem_zalloc((size_t)args.file_count * sizeof(source_t));
@@ -221,7 +223,7 @@
         collect_sent(&messages, args.files[i]);
         sources[i].file = fopen(args.files[i], "re");
         if (sources[i].file == NULL) {
-            (void)fprintf(stderr, "celeryspool-timeline: %s cannot be read\n",
+            (void)fprintf(stderr, "celeryspool-timeline: cannot open %s\n",
                           args.files[i]);
             return EXIT_FAILURE;
         }
@@ -232,7 +234,7 @@
         (void)fclose(sources[i].file);
     }
     free(sources);
-    json_decref(messages.known);
-    json_decref(messages.sent);
+    json_decref(messages.all_sent);
+    json_decref(messages.emitted);
     return EXIT_SUCCESS;
 }
--- a/daemons/celeryspoolctl.c
+++ b/daemons/celeryspoolctl.c
@@ -6,11 +6,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/* The operators' tool: a client of the administration API, one-shot with
- * words on the command line, interactive without. */
+/* The operators' tool, a client of the administration API.  It runs the
+ * command given as arguments; without one it is interactive on a terminal and
+ * otherwise runs the commands on standard input. */
 
 #define TIMEOUT_MS 10000
-#define COLUMN_MAX 60
+#define COLUMN_WIDTH_MAX 60
 #define COLUMNS_MAX 24
 
 const char *argp_program_version = "celeryspoolctl " CS_VERSION;
@@ -24,8 +25,8 @@
 } ctl_args_t;
 
 static const struct argp_option options[] = {
-    {"addr", 'a', "ADDR", 0, "a daemon's http address", 0},
-    {"key", 'k', "KEY", 0, "operator's key; else $CELERYSPOOL_KEY", 0},
+    {"addr", 'a', "ADDR", 0, "HTTP address of a daemon", 0},
+    {"key", 'k', "KEY", 0, "operator's key (default: $CELERYSPOOL_KEY)", 0},
     {"json", 'j', NULL, 0, "print JSON", 0},
     {"if-generation", 'g', "N", 0,
      "change only if this generation is in force", 0},
@@ -35,8 +36,9 @@
 static void
 add_word(buf_t *line, const char *word)
 {
-    bool blank = strpbrk(word, " \t") != NULL;
-    buf_fmt(line, blank ? "%s'%s'" : "%s%s", line->len > 0 ? " " : "", word);
+    bool has_blank = strpbrk(word, " \t") != NULL;
+    buf_fmt(line, has_blank ? "%s'%s'" : "%s%s", line->len > 0 ? " " : "",
+            word);
 }
 
 static error_t
@@ -68,16 +70,16 @@
     options,
     parse_option,
     "[COMMAND…]",
-    "Asks and commands a celeryspool deployment.\vWithout a command it is "
-    "interactive; help lists the commands. Exit status: 0 done, 1 refused, 4 "
-    "no daemon reached.",
+    "Queries and controls a celeryspool deployment.\vWithout a command it is "
+    "interactive; help lists the commands. Exit status: 0 success, 1 command "
+    "rejected, 4 daemon unreachable.",
     NULL,
     NULL,
     NULL};
 
-/* Send one line; the reply, or NULL where no daemon answers. */
+/* Send one command; the reply, or NULL if the daemon does not answer. */
 static json_t *
-ask(const ctl_args_t *args, const char *line, int *status)
+send_command(const ctl_args_t *args, const char *line, int *status)
 {
     char url[CS_ADDR_MAX + 32];
     CLEAN_BUF buf_t header = {0};
@@ -149,11 +151,11 @@
             columns_add(columns, key);
         }
         for (size_t c = 0; c < columns->count; c++) {
-            char text[COLUMN_MAX * 4];
+            char text[COLUMN_WIDTH_MAX * 4];
             cell_text(json_object_get(row, columns->keys[c]), text,
                       sizeof(text));
             size_t len = strlen(text);
-            len = len > COLUMN_MAX ? COLUMN_MAX : len;
+            len = len > COLUMN_WIDTH_MAX ? COLUMN_WIDTH_MAX : len;
             columns->widths[c] =
                 len > columns->widths[c] ? len : columns->widths[c];
         }
@@ -173,7 +175,7 @@
     (void)printf("\n");
     json_array_foreach (rows, i, row) {
         for (size_t c = 0; c < columns.count; c++) {
-            char text[COLUMN_MAX * 4] = "";
+            char text[COLUMN_WIDTH_MAX * 4] = "";
             const json_t *value = json_object_get(row, columns.keys[c]);
             if (value != NULL) {
                 cell_text(value, text, sizeof(text));
@@ -208,7 +210,7 @@
     }
 }
 
-/* Where a word of the line begins, for the mark below it. */
+/* The column where a word of the line begins, for the caret below it. */
 static size_t
 word_column(const char *line, int word)
 {
@@ -231,7 +233,7 @@
                       "");
     }
     (void)fprintf(stderr, "celeryspoolctl: %s\n",
-                  message == NULL ? "refused" : message);
+                  message == NULL ? "command rejected" : message);
     if (json_object_get(reply, "generation") != NULL) {
         (void)fprintf(stderr, "generation in force: %lld\n",
                       (long long)json_int(reply, "generation", 0));
@@ -246,9 +248,9 @@
 run_line(const ctl_args_t *args, const char *line)
 {
     int status = 0;
-    CLEAN_JSON json_t *reply = ask(args, line, &status);
+    CLEAN_JSON json_t *reply = send_command(args, line, &status);
     if (reply == NULL) {
-        (void)fprintf(stderr, "celeryspoolctl: no answer from %s\n",
+        (void)fprintf(stderr, "celeryspoolctl: no response from %s\n",
                       args->addr);
         return EXIT_UNREACHABLE;
     }
@@ -265,7 +267,7 @@
     return status == 200 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/* What a first word may be, for completion; filled from help. */
+/* The commands, from the help command, to complete the first word. */
 static json_t *completion_rows;
 
 static char *
@@ -296,7 +298,7 @@
 {
     int status = 0;
     char *line;
-    CLEAN_JSON json_t *help = ask(args, "help", &status);
+    CLEAN_JSON json_t *help = send_command(args, "help", &status);
     completion_rows = json_object_get(help, "rows");
     rl_attempted_completion_function = complete;
     using_history();
@@ -318,16 +320,16 @@
 run_script(const ctl_args_t *args)
 {
     char line[4096];
-    int worst = EXIT_SUCCESS;
+    int last_failure = EXIT_SUCCESS;
     while (fgets(line, sizeof(line), stdin) != NULL) {
         line[strcspn(line, "\n")] = '\0';
         if (line[strspn(line, " \t")] == '\0' || line[0] == '#') {
             continue;
         }
         int status = run_line(args, line);
-        worst = status != EXIT_SUCCESS ? status : worst;
+        last_failure = status != EXIT_SUCCESS ? status : last_failure;
     }
-    return worst;
+    return last_failure;
 }
 
 int
--- a/daemons/celeryspoold.c
+++ b/daemons/celeryspoold.c
@@ -12,14 +12,14 @@
 typedef struct {
     const char *settings;
     bool check;
-    bool describe;
+    bool help_settings;
 } daemon_args_t;
 
-#define SERVE_STEP_MS 50
-/* Where no file is named, the platform's variable names it. */
-#define SETTINGS_VARIABLE "CELERYSPOOL_CONFIG"
+#define POLL_INTERVAL_MS 50
+/* The platform's variable that names the settings file by default. */
+#define SETTINGS_ENV "CELERYSPOOL_CONFIG"
 
-static volatile sig_atomic_t stop_signals;
+static volatile sig_atomic_t stop_signal_count;
 
 static const struct argp_option options[] = {
     {"settings", 's', "FILE", 0, "settings file (INI)", 0},
@@ -40,13 +40,13 @@
             args->check = true;
             return 0;
         case 'S':
-            args->describe = true;
+            args->help_settings = true;
             return 0;
         case ARGP_KEY_END:
             if (args->settings == NULL) {
-                args->settings = getenv(SETTINGS_VARIABLE);
+                args->settings = getenv(SETTINGS_ENV);
             }
-            if (args->settings == NULL && !args->describe) {
+            if (args->settings == NULL && !args->help_settings) {
                 argp_error(state, "--settings is needed");
             }
             return 0;
@@ -60,7 +60,7 @@
     parse_option,
     NULL,
     "A router for language-model traffic.\vExit status: 0 after a graceful "
-    "stop, 3 for bad settings, 4 for an address that cannot be had.",
+    "stop, 3 for invalid settings, 4 for an address that cannot be used.",
     NULL,
     NULL,
     NULL};
@@ -69,40 +69,43 @@
 on_signal(int number)
 {
     (void)number;
-    stop_signals++;
+    stop_signal_count++;
 }
 
-/* Serve until asked to stop; then leave: stay for the balancer's sake, close
- * the door, serve what is inside, go. */
+/* Serve until a stop is requested, then shut down gracefully: keep accepting
+ * connections for the grace period, until the load balancer has noticed; stop
+ * accepting and let all requests end; then wait for open connections to close,
+ * at most for another grace period. */
 static void
 serve(celeryspoold_t *daemon)
 {
-    while (stop_signals == 0) {
-        time_sleep_ms(SERVE_STEP_MS);
+    while (stop_signal_count == 0) {
+        time_sleep_ms(POLL_INTERVAL_MS);
     }
-    int seen = 1;
+    int handled_count = 1;
     daemon_leave(daemon);
-    int64_t door = time_mono_ms() + daemon->settings.grace_ms;
-    bool closed = false;
-    while (!closed || !daemon_left(daemon)) {
-        time_sleep_ms(SERVE_STEP_MS);
-        if (stop_signals > seen) {
-            seen = stop_signals;
+    int64_t accept_until_ms = time_mono_ms() + daemon->settings.grace_ms;
+    bool stopped_accepting = false;
+    while (!stopped_accepting || !daemon_left(daemon)) {
+        time_sleep_ms(POLL_INTERVAL_MS);
+        if (stop_signal_count > handled_count) {
+            handled_count = stop_signal_count;
             daemon_leave(daemon);
         }
-        if (!closed && time_mono_ms() >= door) {
+        if (!stopped_accepting && time_mono_ms() >= accept_until_ms) {
             http_server_quiesce(daemon->server);
-            closed = true;
+            stopped_accepting = true;
         }
     }
-    int64_t last = time_mono_ms() + daemon->settings.grace_ms;
+    int64_t close_deadline_ms = time_mono_ms() + daemon->settings.grace_ms;
     while (http_server_connections(daemon->server) > 0 &&
-           time_mono_ms() < last) {
-        time_sleep_ms(SERVE_STEP_MS);
+           time_mono_ms() < close_deadline_ms) {
+        time_sleep_ms(POLL_INTERVAL_MS);
     }
 }
 
-/* The router on the users' platform: records go to standard output. */
+/* Run in relay mode, as the router on the users' platform, with records on
+ * standard output. */
 static int
 run_relay(const settings_t *settings, const char *path)
 {
@@ -124,7 +127,7 @@
     err_t err = {0};
     CLEAN_BUF buf_t problems = {0};
     (void)argp_parse(&arguments, argc, argv, 0, NULL, &args);
-    if (args.describe) {
+    if (args.help_settings) {
         settings_describe(stdout);
         return EXIT_SUCCESS;
     }
@@ -136,7 +139,7 @@
         return EXIT_SETTINGS;
     }
     if (args.check) {
-        (void)printf("%s: good\n", args.settings);
+        (void)printf("%s: settings are valid\n", args.settings);
         return EXIT_SUCCESS;
     }
     (void)signal(SIGPIPE, SIG_IGN);
@@ -147,7 +150,7 @@
         return run_relay(&settings, args.settings);
     }
     if (event_setup(settings.name, settings.event_log) != 0) {
-        log_error("daemon", "The event log %s cannot be opened.",
+        log_error("daemon", "Cannot open the event log %s.",
                   settings.event_log);
         return EXIT_SETTINGS;
     }
@@ -159,7 +162,7 @@
     serve(daemon);
     event_emit(&(event_t){.kind = "daemon-stopped"});
     daemon_stop(daemon);
-    log_info("daemon", "Stopped; nothing was cut.");
+    log_info("daemon", "Stopped after all requests had ended.");
     event_close();
     return EXIT_SUCCESS;
 }
