--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -154,7 +154,7 @@
     for (int i = 0; i < 4000; i++) {
         engine_cache_store(engine, rng_next(&rng));
     }
-    CLEAN_JSON json_t *events = engine_cache_events(engine, 0, 0, &rng);
+    CLEAN_JSON json_t *events = engine_cache_list_events(engine, 0, 0, &rng);
     CLEAN_TEXT char *text = json_dumps(events, JSON_COMPACT);
     cache_map_t *cache = cache_map_new(65536);
     double begin = cpu_us();
--- a/fakes/answer.c
+++ b/fakes/answer.c
@@ -16,7 +16,7 @@
 
 /* Token number index: a space and six hexadecimal digits. */
 void
-answer_token(uint64_t seed, uint32_t index, char out[16])
+answer_format_token(uint64_t seed, uint32_t index, char out[16])
 {
     uint64_t value = XXH3_64bits_withSeed(&index, sizeof(index), seed);
     (void)snprintf(out, 16, " %06x", (unsigned)(value & 0xffffff));
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -87,7 +87,7 @@
 {
     size_t held = 0;
     while (held < seq->block_count &&
-           engine_cache_has(engine->cache, seq->blocks[held])) {
+           engine_cache_lookup(engine->cache, seq->blocks[held])) {
         held++;
     }
     seq->block_cached = held;
@@ -185,7 +185,7 @@
     for (uint32_t i = from; i < to; i++) {
         char token[16];
         char line[160];
-        answer_token(seq->seed, i, token);
+        answer_format_token(seq->seed, i, token);
         int len = snprintf(line, sizeof(line),
                            "data: {\"object\":\"chat.completion.chunk\","
                            "\"choices\":[{\"index\":0,\"delta\":{\"content\":"
@@ -216,7 +216,7 @@
     CLEAN_BUF buf_t text = {0};
     for (uint32_t i = 0; i < seq->wanted; i++) {
         char token[16];
-        answer_token(seq->seed, i, token);
+        answer_format_token(seq->seed, i, token);
         buf_str(&text, token);
     }
     CLEAN_JSON json_t *body = json_pack(
--- a/fakes/engine-cache.c
+++ b/fakes/engine-cache.c
@@ -88,7 +88,7 @@
 
 /* Whether a block is held; a look counts as its use. */
 bool
-engine_cache_has(engine_cache_t *cache, uint64_t key)
+engine_cache_lookup(engine_cache_t *cache, uint64_t key)
 {
     block_t *block = cache_find(cache, key);
     if (block == NULL) {
@@ -100,7 +100,7 @@
 
 /* The same without a use. */
 bool
-engine_cache_holds(const engine_cache_t *cache, uint64_t key)
+engine_cache_contains(const engine_cache_t *cache, uint64_t key)
 {
     return cache_find(cache, key) != NULL;
 }
@@ -109,7 +109,7 @@
 void
 engine_cache_store(engine_cache_t *cache, uint64_t key)
 {
-    if (engine_cache_has(cache, key)) {
+    if (engine_cache_lookup(cache, key)) {
         return;
     }
     if (cache->size >= cache->max) {
@@ -131,8 +131,8 @@
 
 /* Events behind a number, oldest first, some lost on the way as asked. */
 json_t *
-engine_cache_events(engine_cache_t *cache, uint64_t after,
-                    unsigned drop_percent, rng_t *rng)
+engine_cache_list_events(engine_cache_t *cache, uint64_t after,
+                         unsigned drop_percent, rng_t *rng)
 {
     json_t *events = json_array();
     uint64_t first = after + 1;
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -102,10 +102,11 @@
 {
     const char *after = http_req_query(req, "after");
     uint64_t from = after == NULL ? 0 : strtoull(after, NULL, 10);
-    CLEAN_JSON json_t *body = json_pack(
-        "{s:s,s:o}", "incarnation", engine->incarnation, "events",
-        engine_cache_events(engine->cache, from,
-                            engine->knobs.event_drop_percent, &engine->rng));
+    CLEAN_JSON json_t *body =
+        json_pack("{s:s,s:o}", "incarnation", engine->incarnation, "events",
+                  engine_cache_list_events(engine->cache, from,
+                                           engine->knobs.event_drop_percent,
+                                           &engine->rng));
     http_req_reply_json(req, 200, body);
 }
 
--- a/fakes/fakes.h
+++ b/fakes/fakes.h
@@ -9,7 +9,7 @@
 #include <ck_queue.h>
 
 uint64_t answer_seed(const char *prompt, size_t len, const char *version);
-void answer_token(uint64_t seed, uint32_t index, char out[16]);
+void answer_format_token(uint64_t seed, uint32_t index, char out[16]);
 uint32_t answer_count(const char *text);
 
 /* The engine's block cache: least recently used, a fixed number of blocks,
@@ -19,12 +19,12 @@
 engine_cache_t *engine_cache_new(size_t blocks_max);
 void engine_cache_free(engine_cache_t *cache);
 void engine_cache_clear(engine_cache_t *cache);
-bool engine_cache_has(engine_cache_t *cache, uint64_t key);
-bool engine_cache_holds(const engine_cache_t *cache, uint64_t key);
+bool engine_cache_lookup(engine_cache_t *cache, uint64_t key);
+bool engine_cache_contains(const engine_cache_t *cache, uint64_t key);
 void engine_cache_store(engine_cache_t *cache, uint64_t key);
 size_t engine_cache_size(const engine_cache_t *cache);
-json_t *engine_cache_events(engine_cache_t *cache, uint64_t after,
-                            unsigned drop_percent, rng_t *rng);
+json_t *engine_cache_list_events(engine_cache_t *cache, uint64_t after,
+                                 unsigned drop_percent, rng_t *rng);
 
 /* What an engine is set to do, faults included; changed while running. */
 typedef struct {
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -107,7 +107,7 @@
     const char *at = buf_text(&run->text);
     for (uint32_t i = 0; i < run->client->opts.max_tokens; i++) {
         char token[16];
-        answer_token(run->seeds[version], i, token);
+        answer_format_token(run->seeds[version], i, token);
         if (strncmp(at, token, strlen(token)) != 0) {
             return false;
         }
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -111,7 +111,7 @@
 engine_holds(const engine_cache_t *engine, uint64_t key, uint64_t blocks)
 {
     for (uint64_t i = 0; i < blocks; i++) {
-        if (!engine_cache_holds(engine, key * 1000000 + i)) {
+        if (!engine_cache_contains(engine, key * 1000000 + i)) {
             return false;
         }
     }
@@ -198,7 +198,7 @@
 {
     uint64_t i = 0;
     while (i < FAMILY_BLOCKS &&
-           engine_cache_has(server->engine, family * 1000000 + i)) {
+           engine_cache_lookup(server->engine, family * 1000000 + i)) {
         i++;
     }
     return i;
