--- a/fakes/answer.c
+++ b/fakes/answer.c
@@ -3,18 +3,18 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The answers of the stand-in engine are a function of prompt and weights
- * version alone, so that a checker can tell from the answer whether it is
- * whole, in order, the caller's own, and of the right weights. */
+/* The stand-in engine's answers depend on nothing but the prompt and the
+ * weights version, so that a checker can verify that an answer is complete, in
+ * order, for the caller's own prompt and from the right weights. */
 
-/* What an answer's tokens are derived from. */
+/* Returns the seed from which an answer's tokens are derived. */
 uint64_t
 answer_seed(const char *prompt, size_t len, const char *version)
 {
     return XXH3_64bits_withSeed(prompt, len, str_hash(version, 0));
 }
 
-/* Token number index: a space and six hexadecimal digits. */
+/* Formats the token at an index: a space and six hexadecimal digits. */
 void
 answer_format_token(uint64_t seed, uint32_t index, char out[16])
 {
@@ -22,9 +22,9 @@
     (void)snprintf(out, 16, " %06x", (unsigned)(value & 0xffffff));
 }
 
-/* How many tokens a piece of an answer has. */
+/* Counts the tokens in a piece of an answer: each starts with a space. */
 uint32_t
-answer_count(const char *text)
+answer_count_tokens(const char *text)
 {
     uint32_t count = 0;
     for (; *text != '\0'; text++) {
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -3,13 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Continuous batching: each step shares the prefill rate among the admitted
- * prompts by priority and order, then gives one token to each started one. */
+/* Continuous batching: each step spends its prefill budget on the admitted
+ * prompts in order of priority, then of arrival, and then decodes one token of
+ * each sequence whose prefill is complete. */
 
 #define MAX_TOKENS_DEFAULT 32
-#define ENDED_KEPT_MS 30000
+#define ENDED_RETENTION_MS 30000
 
-/* Set an engine up with an empty cache. */
+/* Initializes an engine with default settings and an empty cache. */
 void
 engine_init(engine_t *engine, const char *name, size_t blocks_max)
 {
@@ -20,14 +21,14 @@
     id_random(engine->incarnation);
     engine->cache = engine_cache_new(blocks_max);
     engine->executed = json_array();
-    engine->orders = json_array();
+    engine->loaded_versions = json_array();
     engine->rng.state = str_hash(name, 1);
-    engine->knobs = (engine_knobs_t){.step_ms = 5,
-                                     .prefill_rate = 40000,
-                                     .slots = 64,
-                                     .slow_factor = 1,
-                                     .version_load_ms = 800,
-                                     .honours_fencing = true};
+    engine->settings = (engine_settings_t){.step_ms = 5,
+                                           .prefill_rate = 40000,
+                                           .slots = 64,
+                                           .slow_factor = 1,
+                                           .version_load_ms = 800,
+                                           .honours_fencing = true};
 }
 
 static void
@@ -39,19 +40,19 @@
     free(seq);
 }
 
-/* Free what an engine holds; no reader is attached any more. */
+/* Frees what an engine holds, except its sequences. */
 void
 engine_free(engine_t *engine)
 {
     engine_cache_free(engine->cache);
     json_decref(engine->executed);
-    json_decref(engine->orders);
+    json_decref(engine->loaded_versions);
     json_decref(engine->load_report);
     (void)pthread_mutex_destroy(&engine->lock);
 }
 
-/* Crash and come back empty: streams break, the cache is gone, a new
- * incarnation answers. */
+/* Simulates a crash and restart: streams are cut off, the cache is empty, and
+ * the engine has a new incarnation. */
 void
 engine_restart_empty(engine_t *engine)
 {
@@ -69,7 +70,8 @@
 }
 
 static void
-seq_blocks(engine_t *engine, seq_t *seq, const buf_t *text, const char *salt)
+seq_compute_blocks(engine_t *engine, seq_t *seq, const buf_t *text,
+                   const char *salt)
 {
     uint64_t key = prefix_root(salt, engine->version);
     seq->block_count = text->len / PREFIX_BLOCK_BYTES;
@@ -81,24 +83,24 @@
     seq->prompt_tokens = (uint32_t)(text->len / PREFIX_TOKEN_BYTES);
 }
 
-/* Find how much of the prompt is cached at the moment that it is begun. */
+/* Looks up the cached prefix of a prompt whose prefill is about to start. */
 static void
-seq_look_up(engine_t *engine, seq_t *seq)
+seq_lookup_prefix(engine_t *engine, seq_t *seq)
 {
     size_t held = 0;
     while (held < seq->block_count &&
            engine_cache_lookup(engine->cache, seq->blocks[held])) {
         held++;
     }
-    seq->block_cached = held;
+    seq->cached_block_count = held;
     seq->cached_tokens = (uint32_t)(held * PREFIX_BLOCK_TOKENS);
-    seq->prefill_left = (double)(seq->prompt_tokens - seq->cached_tokens);
+    seq->prefill_remaining = (double)(seq->prompt_tokens - seq->cached_tokens);
     engine->tokens_cached += seq->cached_tokens;
     engine->tokens_prefilled += seq->prompt_tokens - seq->cached_tokens;
 }
 
-/* Store from the last block to the first, so that the head of a prompt, which
- * others share, counts as used last and is evicted last. */
+/* Stores the blocks from last to first, so that the start of a prompt, which
+ * other prompts share, is the most recently used and is evicted last. */
 static void
 seq_store_blocks(engine_t *engine, const seq_t *seq)
 {
@@ -107,10 +109,10 @@
     }
 }
 
-/* The part of the answer that the prompt already holds, if the last message
- * is to be continued; it is removed from the list. */
+/* If the request continues its final message, removes that message from the
+ * list and returns how many answer tokens it holds; otherwise returns 0. */
 static uint32_t
-take_continued(json_t *messages, const json_t *body)
+remove_continued_message(json_t *messages, const json_t *body)
 {
     size_t count = json_array_size(messages);
     if (!json_flag(body, "continue_final_message") || count == 0) {
@@ -118,12 +120,12 @@
     }
     const char *text =
         json_text(json_array_get(messages, count - 1), "content");
-    uint32_t done = answer_count(text == NULL ? "" : text);
+    uint32_t done = answer_count_tokens(text == NULL ? "" : text);
     (void)json_array_remove(messages, count - 1);
     return done;
 }
 
-/* Take a chat in; it is queued until a slot is free. */
+/* Admits a chat request; it is queued until a slot is free. */
 seq_t *
 engine_admit(engine_t *engine, const json_t *body, http_req_t *req, err_t *err)
 {
@@ -135,20 +137,21 @@
     }
     CLEAN_BUF buf_t full = {0};
     prefix_render(messages, &full);
-    uint32_t done = take_continued(messages, body);
+    uint32_t done = remove_continued_message(messages, body);
     CLEAN_BUF buf_t prompt = {0};
     prefix_render(messages, &prompt);
 
     const char *salt = json_text(body, "cache_salt");
     const char *id = json_text(body, "request_id");
     seq_t *seq = mem_zalloc(sizeof(*seq));
-    seq_blocks(engine, seq, &full, salt == NULL ? "" : salt);
+    seq_compute_blocks(engine, seq, &full, salt == NULL ? "" : salt);
     seq->seed = answer_seed(buf_text(&prompt), prompt.len, engine->version);
-    seq->wanted = (uint32_t)json_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
+    seq->max_tokens =
+        (uint32_t)json_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
     seq->emitted = done;
     seq->priority = (int)json_int(body, "priority", 0);
     seq->stream = json_flag(body, "stream");
-    seq->order = engine->next_order++;
+    seq->arrival = engine->next_arrival++;
     seq->req = req;
     str_copy(seq->id, sizeof(seq->id), id == NULL ? "" : id);
     if (seq->id[0] == '\0') {
@@ -161,7 +164,7 @@
     return seq;
 }
 
-/* The sequence with this id, or NULL. */
+/* Returns the sequence with this id, or NULL. */
 seq_t *
 engine_find(engine_t *engine, const char *id)
 {
@@ -174,12 +177,12 @@
     return NULL;
 }
 
-/* Send the tokens [from, to) to the reader that is attached. */
+/* Sends the tokens [from, to) to the attached client, if any. */
 void
-engine_emit(engine_t *engine, seq_t *seq, uint32_t from, uint32_t to)
+engine_emit_tokens(engine_t *engine, seq_t *seq, uint32_t from, uint32_t to)
 {
     (void)engine;
-    if (seq->req == NULL || seq->muted || !seq->stream) {
+    if (seq->req == NULL || seq->stalled || !seq->stream) {
         return;
     }
     for (uint32_t i = from; i < to; i++) {
@@ -211,10 +214,10 @@
 }
 
 static void
-finish_whole(seq_t *seq)
+finish_response(seq_t *seq)
 {
     CLEAN_BUF buf_t text = {0};
-    for (uint32_t i = 0; i < seq->wanted; i++) {
+    for (uint32_t i = 0; i < seq->max_tokens; i++) {
         char token[16];
         answer_format_token(seq->seed, i, token);
         buf_str(&text, token);
@@ -223,41 +226,44 @@
         "{s:[{s:i,s:{s:s,s:s},s:s}],s:{s:i,s:i,s:{s:i}}}", "choices", "index",
         0, "message", "role", "assistant", "content", buf_text(&text),
         "finish_reason", "stop", "usage", "prompt_tokens",
-        (int)seq->prompt_tokens, "completion_tokens", (int)seq->wanted,
+        (int)seq->prompt_tokens, "completion_tokens", (int)seq->max_tokens,
         "prompt_tokens_details", "cached_tokens", (int)seq->cached_tokens);
     http_req_reply_json(seq->req, 200, body);
 }
 
-/* End the answer for the attached reader, unless its line is silent. */
+/* Completes the answer for the attached client, unless the sequence is
+ * stalled: then the client must see no end either. */
 void
 engine_finish_reader(engine_t *engine, seq_t *seq)
 {
     (void)engine;
-    if (seq->req == NULL || seq->muted) {
+    if (seq->req == NULL || seq->stalled) {
         return;
     }
     if (seq->stream) {
         finish_stream(seq);
     }
     else {
-        finish_whole(seq);
+        finish_response(seq);
     }
     http_req_release(seq->req);
     seq->req = NULL;
 }
 
-/* The waiting or half-filled sequence that is served next. */
+/* Returns the next sequence to prefill: of those waiting or partly prefilled,
+ * the one with the highest priority that arrived first. */
 static seq_t *
-next_to_fill(engine_t *engine)
+next_to_prefill(engine_t *engine)
 {
     seq_t *best = NULL;
     seq_t *seq;
     CK_LIST_FOREACH (seq, &engine->seqs, entry) {
-        if (seq->done || (seq->started && seq->prefill_left <= 0)) {
+        if (seq->done || (seq->started && seq->prefill_remaining <= 0)) {
             continue;
         }
         if (best == NULL || seq->priority > best->priority ||
-            (seq->priority == best->priority && seq->order < best->order)) {
+            (seq->priority == best->priority &&
+             seq->arrival < best->arrival)) {
             best = seq;
         }
     }
@@ -276,57 +282,58 @@
 }
 
 static void
-fill_prompts(engine_t *engine, double budget)
+prefill_prompts(engine_t *engine, double budget)
 {
     unsigned started = count_started(engine);
     seq_t *seq;
-    while (budget > 0 && (seq = next_to_fill(engine)) != NULL) {
-        if (!seq->started && started >= engine->knobs.slots) {
+    while (budget > 0 && (seq = next_to_prefill(engine)) != NULL) {
+        if (!seq->started && started >= engine->settings.slots) {
             return;
         }
         if (!seq->started) {
             seq->started = true;
             started++;
-            seq_look_up(engine, seq);
+            seq_lookup_prefix(engine, seq);
         }
-        double take = seq->prefill_left < budget ? seq->prefill_left : budget;
-        seq->prefill_left -= take;
+        double take =
+            seq->prefill_remaining < budget ? seq->prefill_remaining : budget;
+        seq->prefill_remaining -= take;
         budget -= take;
-        if (seq->prefill_left <= 0) {
+        if (seq->prefill_remaining <= 0) {
             seq_store_blocks(engine, seq);
         }
     }
 }
 
 static void
-decode_one(engine_t *engine, seq_t *seq)
+decode_token(engine_t *engine, seq_t *seq)
 {
-    if (seq->emitted < seq->wanted) {
-        engine_emit(engine, seq, seq->emitted, seq->emitted + 1);
+    if (seq->emitted < seq->max_tokens) {
+        engine_emit_tokens(engine, seq, seq->emitted, seq->emitted + 1);
         seq->emitted++;
         engine->tokens_emitted++;
     }
-    if (seq->emitted >= seq->wanted) {
+    if (seq->emitted >= seq->max_tokens) {
         seq->done = true;
         seq->ended_ms = time_mono_ms();
         engine_finish_reader(engine, seq);
     }
 }
 
-/* A reader that hung up frees its place; an ended answer is kept for a
- * while, so that it can be resumed. */
+/* Detaches clients that have disconnected, and frees sequences that ended more
+ * than ENDED_RETENTION_MS ago; until then their answers can be resumed. */
 static void
-drop_ended(engine_t *engine)
+free_ended_sequences(engine_t *engine)
 {
     int64_t now = time_mono_ms();
     seq_t *seq;
     seq_t *next;
     CK_LIST_FOREACH_SAFE (seq, &engine->seqs, entry, next) {
-        if (seq->req != NULL && !seq->muted && http_req_gone(seq->req)) {
+        if (seq->req != NULL && !seq->stalled && http_req_gone(seq->req)) {
             http_req_release(seq->req);
             seq->req = NULL;
         }
-        if (seq->done && now - seq->ended_ms > ENDED_KEPT_MS) {
+        if (seq->done && now - seq->ended_ms > ENDED_RETENTION_MS) {
             if (seq->req != NULL) {
                 http_req_end(seq->req, false);
                 http_req_release(seq->req);
@@ -336,40 +343,43 @@
     }
 }
 
-/* Put loaded weights in force; what runs goes on with those it began with. */
+/* Switches to the new weights when their load is complete. Running sequences
+ * continue with the weights they were admitted with. */
 static void
 finish_loading(engine_t *engine)
 {
-    if (engine->loading[0] == '\0' || time_mono_ms() < engine->loaded_ms) {
+    if (engine->loading[0] == '\0' ||
+        time_mono_ms() < engine->loading_until_ms) {
         return;
     }
     str_copy(engine->version, sizeof(engine->version), engine->loading);
     engine->loading[0] = '\0';
     engine_cache_clear(engine->cache);
-    (void)json_array_append_new(engine->orders, json_string(engine->version));
+    (void)json_array_append_new(engine->loaded_versions,
+                                json_string(engine->version));
 }
 
-/* One step of the batch; the lock is held. */
+/* Executes one step of the batch. The caller holds the lock. */
 void
 engine_step(engine_t *engine, double seconds)
 {
     seq_t *seq;
     seq_t *next;
-    if (engine->knobs.frozen) {
+    if (engine->settings.frozen) {
         return;
     }
     finish_loading(engine);
-    fill_prompts(engine, engine->knobs.prefill_rate * seconds);
+    prefill_prompts(engine, engine->settings.prefill_rate * seconds);
     CK_LIST_FOREACH_SAFE (seq, &engine->seqs, entry, next) {
-        if (seq->started && !seq->done && seq->prefill_left <= 0) {
-            decode_one(engine, seq);
+        if (seq->started && !seq->done && seq->prefill_remaining <= 0) {
+            decode_token(engine, seq);
         }
     }
-    drop_ended(engine);
+    free_ended_sequences(engine);
 }
 
 static json_t *
-load_now(engine_t *engine)
+make_load_report(engine_t *engine)
 {
     double waiting = 0;
     unsigned running = 0;
@@ -379,26 +389,27 @@
             continue;
         }
         running++;
-        waiting += seq->started ? seq->prefill_left : seq->prompt_tokens;
+        waiting += seq->started ? seq->prefill_remaining : seq->prompt_tokens;
     }
     return json_pack("{s:s,s:s,s:s,s:i,s:i,s:i,s:i,s:i}", "incarnation",
                      engine->incarnation, "version", engine->version,
                      "loading", engine->loading, "running", (int)running,
                      "waiting_tokens", (int)waiting, "prefill_rate",
-                     (int)engine->knobs.prefill_rate, "slots",
-                     (int)engine->knobs.slots, "blocks",
+                     (int)engine->settings.prefill_rate, "slots",
+                     (int)engine->settings.slots, "blocks",
                      (int)engine_cache_size(engine->cache));
 }
 
-/* The load as it was up to load_lag_ms ago. */
+/* Returns the load report, which may be up to load_lag_ms old. */
 json_t *
-engine_load(engine_t *engine)
+engine_get_load_report(engine_t *engine)
 {
     int64_t now = time_mono_ms();
     if (engine->load_report == NULL ||
-        now - engine->load_report_ms >= (int64_t)engine->knobs.load_lag_ms) {
+        now - engine->load_report_ms >=
+            (int64_t)engine->settings.load_lag_ms) {
         json_decref(engine->load_report);
-        engine->load_report = load_now(engine);
+        engine->load_report = make_load_report(engine);
         engine->load_report_ms = now;
     }
     return json_incref(engine->load_report);
--- a/fakes/engine-cache.c
+++ b/fakes/engine-cache.c
@@ -3,9 +3,9 @@
 
 #include <stdlib.h>
 
-#define BUCKETS 16384
-#define EVENTS_KEPT 32768
-#define EVENTS_PAGE 4096
+#define BUCKET_COUNT 16384
+#define EVENTS_MAX 32768
+#define EVENTS_PAGE_MAX 4096
 
 typedef struct block {
     CK_LIST_ENTRY(block) bucket;
@@ -21,15 +21,15 @@
 } cache_event_t;
 
 struct engine_cache {
-    block_list_t buckets[BUCKETS];
+    block_list_t buckets[BUCKET_COUNT];
     lru_t lru;
     size_t size;
     size_t max;
-    uint64_t sequence; /* of the newest event */
-    cache_event_t events[EVENTS_KEPT];
+    uint64_t sequence; /* number of the newest event */
+    cache_event_t events[EVENTS_MAX];
 };
 
-/* A cache for so many blocks. */
+/* Creates a cache of at most blocks_max blocks. */
 engine_cache_t *
 engine_cache_new(size_t blocks_max)
 {
@@ -42,7 +42,7 @@
 cache_publish(engine_cache_t *cache, uint64_t key, bool stored)
 {
     cache->sequence++;
-    cache->events[cache->sequence % EVENTS_KEPT] =
+    cache->events[cache->sequence % EVENTS_MAX] =
         (cache_event_t){.key = key, .stored = stored};
 }
 
@@ -57,7 +57,8 @@
     free(block);
 }
 
-/* Drop everything without an event, as a crash does; numbers start anew. */
+/* Clears the cache as a crash does: no events are left, and their numbers
+ * restart at 1. */
 void
 engine_cache_clear(engine_cache_t *cache)
 {
@@ -78,7 +79,7 @@
 cache_find(const engine_cache_t *cache, uint64_t key)
 {
     block_t *block;
-    CK_LIST_FOREACH (block, &cache->buckets[key % BUCKETS], bucket) {
+    CK_LIST_FOREACH (block, &cache->buckets[key % BUCKET_COUNT], bucket) {
         if (block->key == key) {
             return block;
         }
@@ -86,7 +87,7 @@
     return NULL;
 }
 
-/* Whether a block is held; a look counts as its use. */
+/* Tells whether a block is cached, and marks it as most recently used. */
 bool
 engine_cache_lookup(engine_cache_t *cache, uint64_t key)
 {
@@ -98,14 +99,15 @@
     return true;
 }
 
-/* The same without a use. */
+/* Tells whether a block is cached, without marking it as used. */
 bool
 engine_cache_contains(const engine_cache_t *cache, uint64_t key)
 {
     return cache_find(cache, key) != NULL;
 }
 
-/* Hold a block, evicting the one unused for longest where it is full. */
+/* Caches a block; if the cache is full, the least recently used block is
+ * evicted. */
 void
 engine_cache_store(engine_cache_t *cache, uint64_t key)
 {
@@ -117,7 +119,7 @@
     }
     block_t *block = mem_zalloc(sizeof(*block));
     block->key = key;
-    CK_LIST_INSERT_HEAD(&cache->buckets[key % BUCKETS], block, bucket);
+    CK_LIST_INSERT_HEAD(&cache->buckets[key % BUCKET_COUNT], block, bucket);
     lru_add(&cache->lru, &block->lru);
     cache->size++;
     cache_publish(cache, key, true);
@@ -129,20 +131,22 @@
     return cache->size;
 }
 
-/* Events behind a number, oldest first, some lost on the way as asked. */
+/* Returns one page of the events with numbers above after, oldest first. Each
+ * is dropped with a probability of drop_percent, to simulate lost events. */
 json_t *
 engine_cache_list_events(engine_cache_t *cache, uint64_t after,
                          unsigned drop_percent, rng_t *rng)
 {
     json_t *events = json_array();
     uint64_t first = after + 1;
-    if (cache->sequence >= EVENTS_KEPT &&
-        first <= cache->sequence - EVENTS_KEPT) {
-        first = cache->sequence - EVENTS_KEPT + 1;
+    if (cache->sequence >= EVENTS_MAX &&
+        first <= cache->sequence - EVENTS_MAX) {
+        first = cache->sequence - EVENTS_MAX + 1;
     }
     for (uint64_t n = first;
-         n <= cache->sequence && json_array_size(events) < EVENTS_PAGE; n++) {
-        const cache_event_t *event = &cache->events[n % EVENTS_KEPT];
+         n <= cache->sequence && json_array_size(events) < EVENTS_PAGE_MAX;
+         n++) {
+        const cache_event_t *event = &cache->events[n % EVENTS_MAX];
         if (drop_percent > 0 && rng_below(rng, 100) < drop_percent) {
             continue;
         }
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -43,8 +43,8 @@
     }
 }
 
-/* GET /v1/streams/ID?offset=N goes on with a stream on a new connection;
- * the older reader is let go.  GET with status=1 only tells how far it is. */
+/* GET /v1/streams/ID?offset=N resumes a stream on a new connection and ends
+ * the previous one.  With status=1 it only returns the stream's progress. */
 static void
 handle_stream(engine_t *engine, http_req_t *req)
 {
@@ -69,16 +69,16 @@
     }
     http_req_hold(req);
     seq->req = req;
-    seq->muted = false;
+    seq->stalled = false;
     seq->stream = true;
     http_req_stream(req, 200, "text/event-stream");
-    engine_emit(engine, seq, from, seq->emitted);
+    engine_emit_tokens(engine, seq, from, seq->emitted);
     if (seq->done) {
         engine_finish_reader(engine, seq);
     }
 }
 
-/* DELETE /v1/streams/ID cancels. */
+/* DELETE /v1/streams/ID cancels a stream. */
 static void
 handle_cancel(engine_t *engine, http_req_t *req)
 {
@@ -105,7 +105,7 @@
     CLEAN_JSON json_t *body =
         json_pack("{s:s,s:o}", "incarnation", engine->incarnation, "events",
                   engine_cache_list_events(engine->cache, from,
-                                           engine->knobs.event_drop_percent,
+                                           engine->settings.event_drop_percent,
                                            &engine->rng));
     http_req_reply_json(req, 200, body);
 }
@@ -116,61 +116,64 @@
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
     const char *version = json_text(body, "version");
-    int64_t fence = json_int(body, "fence", 0);
+    int64_t fencing_token = json_int(body, "fence", 0);
     if (version == NULL) {
         http_req_reply_error(req, 400, "bad_order", "version is missing");
         return;
     }
-    if (engine->knobs.honours_fencing && fence < engine->fence) {
-        http_req_reply_error(req, 409, "old_fence", "%lld is in force",
-                             (long long)engine->fence);
+    if (engine->settings.honours_fencing &&
+        fencing_token < engine->fencing_token) {
+        http_req_reply_error(req, 409, "old_fence",
+                             "fencing token %lld was seen",
+                             (long long)engine->fencing_token);
         return;
     }
-    engine->fence = fence;
+    engine->fencing_token = fencing_token;
     if (strcmp(engine->version, version) != 0 &&
         strcmp(engine->loading, version) != 0) {
         str_copy(engine->loading, sizeof(engine->loading), version);
-        engine->loaded_ms = time_mono_ms() + engine->knobs.version_load_ms;
+        engine->loading_until_ms =
+            time_mono_ms() + engine->settings.version_load_ms;
     }
     http_req_reply(req, 200, "application/json", "{}", 2);
 }
 
 static void
-set_knob(const json_t *body, const char *key, unsigned *knob)
+update_setting(const json_t *body, const char *key, unsigned *setting)
 {
-    *knob = (unsigned)json_int(body, key, (json_int_t)*knob);
+    *setting = (unsigned)json_int(body, key, (json_int_t)*setting);
 }
 
 static void
-mute_streams(engine_t *engine)
+stall_streams(engine_t *engine)
 {
     seq_t *seq;
     CK_LIST_FOREACH (seq, &engine->seqs, entry) {
-        seq->muted = seq->req != NULL;
+        seq->stalled = seq->req != NULL;
     }
 }
 
-/* POST /control sets knobs and brings faults about. */
+/* POST /control changes settings and injects faults. */
 static void
 handle_control(engine_t *engine, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    engine_knobs_t *knobs = &engine->knobs;
-    set_knob(body, "step_ms", &knobs->step_ms);
-    set_knob(body, "prefill_rate", &knobs->prefill_rate);
-    set_knob(body, "slots", &knobs->slots);
-    set_knob(body, "load_lag_ms", &knobs->load_lag_ms);
-    set_knob(body, "slow_factor", &knobs->slow_factor);
-    set_knob(body, "version_load_ms", &knobs->version_load_ms);
-    set_knob(body, "event_drop_percent", &knobs->event_drop_percent);
+    engine_settings_t *settings = &engine->settings;
+    update_setting(body, "step_ms", &settings->step_ms);
+    update_setting(body, "prefill_rate", &settings->prefill_rate);
+    update_setting(body, "slots", &settings->slots);
+    update_setting(body, "load_lag_ms", &settings->load_lag_ms);
+    update_setting(body, "slow_factor", &settings->slow_factor);
+    update_setting(body, "version_load_ms", &settings->version_load_ms);
+    update_setting(body, "event_drop_percent", &settings->event_drop_percent);
     if (json_object_get(body, "frozen") != NULL) {
-        knobs->frozen = json_flag(body, "frozen");
+        settings->frozen = json_flag(body, "frozen");
     }
     if (json_object_get(body, "honours_fencing") != NULL) {
-        knobs->honours_fencing = json_flag(body, "honours_fencing");
+        settings->honours_fencing = json_flag(body, "honours_fencing");
     }
     if (json_flag(body, "silence_streams")) {
-        mute_streams(engine);
+        stall_streams(engine);
     }
     if (json_flag(body, "crash_empty")) {
         engine_restart_empty(engine);
@@ -178,7 +181,7 @@
     http_req_reply(req, 200, "application/json", "{}", 2);
 }
 
-/* GET /truth: what really ran here, for checkers. */
+/* GET /truth returns what this engine executed, for checkers. */
 static void
 handle_truth(engine_t *engine, http_req_t *req)
 {
@@ -189,14 +192,14 @@
                   "tokens_cached", (json_int_t)engine->tokens_cached,
                   "tokens_emitted", (json_int_t)engine->tokens_emitted,
                   "requests", (json_int_t)engine->requests, "executed",
-                  engine->executed, "orders", engine->orders);
+                  engine->executed, "orders", engine->loaded_versions);
     http_req_reply_json(req, 200, body);
 }
 
 static void
 handle_load(engine_t *engine, http_req_t *req)
 {
-    CLEAN_JSON json_t *body = engine_load(engine);
+    CLEAN_JSON json_t *body = engine_get_load_report(engine);
     http_req_reply_json(req, 200, body);
 }
 
@@ -229,7 +232,7 @@
                          : strcmp(path, route->path) == 0;
 }
 
-/* Serve one request to the engine. */
+/* Handles one HTTP request to the engine. */
 void
 engine_handle(http_req_t *req, void *arg)
 {
--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A model replica: continuous batching, a block cache, events, a lagging
- * load report.  It departs from a real engine in that a token is four bytes
- * of text, that answers are a function of prompt and version, and that an
+/* A model replica: continuous batching, a block cache, cache events, a delayed
+ * load report.  It differs from a real engine in that a token is four bytes of
+ * text, answers depend only on the prompt and the weights version, and an
  * ended answer can be resumed for 30 s. */
 
 typedef struct {
@@ -25,9 +25,9 @@
     {"listen", 'l', "ADDR", 0, "IPV4:PORT to listen on", 0},
     {"name", 'n', "NAME", 0, "name of the backend server", 0},
     {"blocks", 'b', "N", 0, "cache size in blocks of 16 tokens", 0},
-    {"step-ms", 's', "MS", 0, "length of a decode step", 0},
-    {"prefill-rate", 'p', "N", 0, "tokens prefilled a second", 0},
-    {"slots", 'c', "N", 0, "sequences that run at once", 0},
+    {"step-ms", 's', "MS", 0, "duration of a decode step", 0},
+    {"prefill-rate", 'p', "N", 0, "tokens prefilled per second", 0},
+    {"slots", 'c', "N", 0, "sequences that run concurrently", 0},
     {0},
 };
 
@@ -76,8 +76,8 @@
     int64_t last = time_mono_us();
     while (!fake_engine_stop) {
         (void)pthread_mutex_lock(&engine->lock);
-        unsigned slow = engine->knobs.slow_factor;
-        unsigned step_ms = engine->knobs.step_ms * slow;
+        unsigned slow = engine->settings.slow_factor;
+        unsigned step_ms = engine->settings.step_ms * slow;
         (void)pthread_mutex_unlock(&engine->lock);
         time_sleep_ms((int)step_ms);
         int64_t now = time_mono_us();
@@ -105,9 +105,9 @@
     (void)signal(SIGPIPE, SIG_IGN);
     log_setup(args.name, LOG_INFO);
     engine_init(&engine, args.name, args.blocks);
-    engine.knobs.step_ms = args.step_ms;
-    engine.knobs.prefill_rate = args.prefill_rate;
-    engine.knobs.slots = args.slots;
+    engine.settings.step_ms = args.step_ms;
+    engine.settings.prefill_rate = args.prefill_rate;
+    engine.settings.slots = args.slots;
     http_server_opts_t opts = {.addr = args.listen,
                                .threads = 1,
                                .body_max = 4 << 20,
