--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -5,11 +5,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A plain service beside the models, whose calls may not be repeated: each
- * POST is an effect (a takedown, a strike, a sale) that it counts by the key
- * in the body.  It guards against nothing itself. */
+/* A service without a model, whose calls must not be repeated: each POST
+ * has an effect (a takedown, a strike, a sale), which is counted by the key in
+ * the body.  The service itself does not detect repeated calls. */
 
-#define TICK_MS 2
+#define TICK_INTERVAL_MS 2
 
 typedef struct pending {
     CK_LIST_ENTRY(pending) entry;
@@ -19,10 +19,10 @@
 
 typedef struct {
     pthread_mutex_t lock;
-    json_t *effects; /* key -> how often */
+    json_t *effects; /* key -> number of effects */
     unsigned delay_ms;
-    unsigned cut_before; /* so many calls are cut without effect */
-    unsigned cut_after;  /* so many calls are cut after their effect */
+    unsigned cuts_before_effect; /* next calls to cut off without effect */
+    unsigned cuts_after_effect;  /* next calls to cut off after their effect */
     CK_LIST_HEAD(pendings, pending) pendings;
 } service_t;
 
@@ -36,15 +36,15 @@
 }
 
 static void
-take_effect(service_t *service, http_req_t *req)
+apply_effect(service_t *service, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
     const char *key = json_text(body, "key");
     key = key == NULL ? "none" : key;
     int64_t count = json_int(service->effects, key, 0) + 1;
     (void)json_object_set_new(service->effects, key, json_integer(count));
-    if (service->cut_after > 0) {
-        service->cut_after--;
+    if (service->cuts_after_effect > 0) {
+        service->cuts_after_effect--;
         http_req_cut(req);
         return;
     }
@@ -56,13 +56,13 @@
 static void
 handle_call(service_t *service, http_req_t *req)
 {
-    if (service->cut_before > 0) {
-        service->cut_before--;
+    if (service->cuts_before_effect > 0) {
+        service->cuts_before_effect--;
         http_req_cut(req);
         return;
     }
     if (service->delay_ms == 0) {
-        take_effect(service, req);
+        apply_effect(service, req);
         return;
     }
     pending_t *pending = mem_zalloc(sizeof(*pending));
@@ -78,15 +78,15 @@
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
     service->delay_ms =
         (unsigned)json_int(body, "delay_ms", service->delay_ms);
-    service->cut_before =
-        (unsigned)json_int(body, "cut_before", service->cut_before);
-    service->cut_after =
-        (unsigned)json_int(body, "cut_after", service->cut_after);
+    service->cuts_before_effect =
+        (unsigned)json_int(body, "cut_before", service->cuts_before_effect);
+    service->cuts_after_effect =
+        (unsigned)json_int(body, "cut_after", service->cuts_after_effect);
     http_req_reply(req, 200, "application/json", "{}", 2);
 }
 
 static void
-handle(http_req_t *req, void *arg)
+handle_request(http_req_t *req, void *arg)
 {
     service_t *service = arg;
     LOCK_SCOPE(&service->lock);
@@ -118,7 +118,7 @@
 }
 
 static void
-tick(service_t *service)
+answer_due_calls(service_t *service)
 {
     LOCK_SCOPE(&service->lock);
     int64_t now = time_mono_ms();
@@ -128,7 +128,7 @@
         if (now < pending->due_ms && !fake_service_stop) {
             continue;
         }
-        take_effect(service, pending->req);
+        apply_effect(service, pending->req);
         http_req_release(pending->req);
         CK_LIST_REMOVE(pending, entry);
         free(pending);
@@ -170,7 +170,7 @@
                                .threads = 1,
                                .body_max = 1 << 20,
                                .connections_max = 4000,
-                               .handler = handle,
+                               .handler = handle_request,
                                .arg = &service};
     http_server_t *server = http_server_start(&opts, &err);
     if (server == NULL) {
@@ -178,10 +178,10 @@
         return EXIT_FAILURE;
     }
     while (!fake_service_stop) {
-        time_sleep_ms(TICK_MS);
-        tick(&service);
+        time_sleep_ms(TICK_INTERVAL_MS);
+        answer_due_calls(&service);
     }
-    tick(&service);
+    answer_due_calls(&service);
     http_server_stop(server);
     json_decref(service.effects);
     return EXIT_SUCCESS;
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -5,50 +5,51 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The platform's object API and host list: versions, conditional update,
- * watches by long poll, rates, outages, answers lost after their effect.  It
- * departs from a real one in that it has one process and keeps nothing. */
+/* The platform's object API and host list: versions, conditional updates,
+ * watches by long poll, rate limits, outages, answers lost after the write was
+ * applied.  It differs from a real one in that it is a single process and
+ * stores nothing on disk. */
 
-#define OBJECTS "/v1/objects/"
-#define WATCH_SECONDS 20
-#define TICK_MS 5
+#define OBJECTS_PATH "/v1/objects/"
+#define WATCH_TIMEOUT_S 20
+#define TICK_INTERVAL_MS 5
 #define VALUE_MAX (1 << 20)
 
-typedef struct waiter {
-    CK_LIST_ENTRY(waiter) entry;
+typedef struct watcher {
+    CK_LIST_ENTRY(watcher) entry;
     http_req_t *req;
     char name[256];
-    int64_t version; /* a newer one ends the watch */
+    int64_t version; /* the client waits for a newer one */
     int64_t due_ms;
-} waiter_t;
+} watcher_t;
 
-/* An answer that is sent later, because the store is slow. */
-typedef struct delayed {
-    CK_LIST_ENTRY(delayed) entry;
+/* A request that is handled after a delay, because the store is slow. */
+typedef struct delayed_request {
+    CK_LIST_ENTRY(delayed_request) entry;
     http_req_t *req;
     int64_t due_ms;
-} delayed_t;
+} delayed_request_t;
 
 typedef struct {
     pthread_mutex_t lock;
     json_t *objects; /* name -> {"version","value"} */
     int64_t version;
-    CK_LIST_HEAD(waiters, waiter) waiters;
-    CK_LIST_HEAD(delays, delayed) delays;
+    CK_LIST_HEAD(watchers, watcher) watchers;
+    CK_LIST_HEAD(delayed_requests, delayed_request) delayed_requests;
     json_t *hosts;
     bool outage;
-    unsigned slow_ms;
-    unsigned lose_answers;
-    unsigned writes_max; /* a second */
-    unsigned reads_max;
-    int64_t second;
-    unsigned writes_now;
-    unsigned reads_now;
+    unsigned delay_ms;
+    unsigned answers_to_drop;
+    unsigned writes_per_s_max;
+    unsigned reads_per_s_max;
+    int64_t current_second;
+    unsigned writes_this_second;
+    unsigned reads_this_second;
     unsigned writes_peak;
     unsigned reads_peak;
     uint64_t writes;
     uint64_t reads;
-    uint64_t refused;
+    uint64_t rejected;
 } store_t;
 
 static volatile sig_atomic_t fake_store_stop;
@@ -63,26 +64,28 @@
 static const char *
 object_name(const http_req_t *req)
 {
-    return http_req_path(req) + strlen(OBJECTS);
+    return http_req_path(req) + strlen(OBJECTS_PATH);
 }
 
-/* Count a call against its rate; false where the rate is used up. */
+/* Counts a call against the rate limit of reads or writes; false if it is
+ * exceeded. */
 static bool
-rate_take(store_t *store, bool write)
+rate_limit_allows(store_t *store, bool write)
 {
-    int64_t second = time_mono_ms() / 1000;
-    if (second != store->second) {
-        store->second = second;
-        store->writes_now = 0;
-        store->reads_now = 0;
+    int64_t current_second = time_mono_ms() / 1000;
+    if (current_second != store->current_second) {
+        store->current_second = current_second;
+        store->writes_this_second = 0;
+        store->reads_this_second = 0;
     }
-    unsigned *now = write ? &store->writes_now : &store->reads_now;
+    unsigned *now =
+        write ? &store->writes_this_second : &store->reads_this_second;
     unsigned *peak = write ? &store->writes_peak : &store->reads_peak;
-    unsigned max = write ? store->writes_max : store->reads_max;
+    unsigned max = write ? store->writes_per_s_max : store->reads_per_s_max;
     *(write ? &store->writes : &store->reads) += 1;
     *now += 1;
     *peak = *now > *peak ? *now : *peak;
-    store->refused += *now > max;
+    store->rejected += *now > max;
     return *now <= max;
 }
 
@@ -99,50 +102,52 @@
 static void
 wake_watchers(store_t *store, const char *name)
 {
-    waiter_t *waiter;
-    waiter_t *next;
-    CK_LIST_FOREACH_SAFE (waiter, &store->waiters, entry, next) {
-        if (strcmp(waiter->name, name) != 0) {
+    watcher_t *watcher;
+    watcher_t *next;
+    CK_LIST_FOREACH_SAFE (watcher, &store->watchers, entry, next) {
+        if (strcmp(watcher->name, name) != 0) {
             continue;
         }
-        reply_object(waiter->req, json_object_get(store->objects, name));
-        http_req_release(waiter->req);
-        CK_LIST_REMOVE(waiter, entry);
-        free(waiter);
+        reply_object(watcher->req, json_object_get(store->objects, name));
+        http_req_release(watcher->req);
+        CK_LIST_REMOVE(watcher, entry);
+        free(watcher);
     }
 }
 
 static void
-watch_add(store_t *store, http_req_t *req, const char *name, int64_t version)
+watcher_add(store_t *store, http_req_t *req, const char *name, int64_t version)
 {
-    const char *wait = http_req_query(req, "timeout_ms");
-    int64_t span =
-        wait == NULL ? WATCH_SECONDS * 1000 : strtoll(wait, NULL, 10);
-    waiter_t *waiter = mem_zalloc(sizeof(*waiter));
+    const char *timeout = http_req_query(req, "timeout_ms");
+    int64_t timeout_ms =
+        timeout == NULL ? WATCH_TIMEOUT_S * 1000 : strtoll(timeout, NULL, 10);
+    watcher_t *watcher = mem_zalloc(sizeof(*watcher));
     http_req_hold(req);
-    waiter->req = req;
-    waiter->version = version;
-    waiter->due_ms = time_mono_ms() + span;
-    str_copy(waiter->name, sizeof(waiter->name), name);
-    CK_LIST_INSERT_HEAD(&store->waiters, waiter, entry);
+    watcher->req = req;
+    watcher->version = version;
+    watcher->due_ms = time_mono_ms() + timeout_ms;
+    str_copy(watcher->name, sizeof(watcher->name), name);
+    CK_LIST_INSERT_HEAD(&store->watchers, watcher, entry);
 }
 
-/* GET reads; with ?after=N it waits for a version above N. */
+/* GET returns an object; with ?after=N it waits for a version above N. */
 static void
 handle_get(store_t *store, http_req_t *req)
 {
     const char *name = object_name(req);
     const char *after = http_req_query(req, "after");
     const json_t *object = json_object_get(store->objects, name);
-    int64_t have = object == NULL ? 0 : json_int(object, "version", 0);
-    if (after != NULL && have <= strtoll(after, NULL, 10)) {
-        watch_add(store, req, name, strtoll(after, NULL, 10));
+    int64_t current_version =
+        object == NULL ? 0 : json_int(object, "version", 0);
+    if (after != NULL && current_version <= strtoll(after, NULL, 10)) {
+        watcher_add(store, req, name, strtoll(after, NULL, 10));
         return;
     }
     reply_object(req, object);
 }
 
-/* PUT with If-Match writes only over that version; 0 stands for none. */
+/* PUT writes an object. With If-Match it does so only if that is the object's
+ * version; 0 means that the object does not exist. */
 static void
 handle_put(store_t *store, http_req_t *req)
 {
@@ -151,14 +156,15 @@
     size_t len;
     const char *text = http_req_body(req, &len);
     const json_t *object = json_object_get(store->objects, name);
-    int64_t have = object == NULL ? 0 : json_int(object, "version", 0);
+    int64_t current_version =
+        object == NULL ? 0 : json_int(object, "version", 0);
     if (len > VALUE_MAX) {
         http_req_reply_error(req, 413, "too_large", "over a megabyte");
         return;
     }
-    if (match != NULL && strtoll(match, NULL, 10) != have) {
+    if (match != NULL && strtoll(match, NULL, 10) != current_version) {
         http_req_reply_error(req, 412, "conflict", "version is %lld",
-                             (long long)have);
+                             (long long)current_version);
         return;
     }
     json_t *value = json_loads(text, JSON_DECODE_ANY, NULL);
@@ -172,8 +178,8 @@
         json_pack("{s:I,s:o}", "version", (json_int_t)store->version, "value",
                   value));
     wake_watchers(store, name);
-    if (store->lose_answers > 0) {
-        store->lose_answers--;
+    if (store->answers_to_drop > 0) {
+        store->answers_to_drop--;
         http_req_cut(req);
         return;
     }
@@ -190,7 +196,7 @@
         http_req_reply_error(req, 503, "outage", "the store is down");
         return;
     }
-    if (!rate_take(store, write)) {
+    if (!rate_limit_allows(store, write)) {
         http_req_reply_error(req, 429, "rate", "too many calls");
         return;
     }
@@ -208,9 +214,9 @@
     if (json_object_get(body, "outage") != NULL) {
         store->outage = json_flag(body, "outage");
     }
-    store->slow_ms = (unsigned)json_int(body, "slow_ms", store->slow_ms);
-    store->lose_answers =
-        (unsigned)json_int(body, "lose_answers", store->lose_answers);
+    store->delay_ms = (unsigned)json_int(body, "slow_ms", store->delay_ms);
+    store->answers_to_drop =
+        (unsigned)json_int(body, "lose_answers", store->answers_to_drop);
     if (json_object_get(body, "hosts") != NULL) {
         json_decref(store->hosts);
         store->hosts = json_incref(json_object_get(body, "hosts"));
@@ -224,7 +230,7 @@
     CLEAN_JSON json_t *body = json_pack(
         "{s:I,s:I,s:I,s:i,s:i,s:O}", "writes", (json_int_t)store->writes,
         "reads", (json_int_t)store->reads, "refused",
-        (json_int_t)store->refused, "writes_peak", (int)store->writes_peak,
+        (json_int_t)store->rejected, "writes_peak", (int)store->writes_peak,
         "reads_peak", (int)store->reads_peak, "objects", store->objects);
     http_req_reply_json(req, 200, body);
 }
@@ -233,7 +239,7 @@
 handle_now(store_t *store, http_req_t *req)
 {
     const char *path = http_req_path(req);
-    if (strncmp(path, OBJECTS, strlen(OBJECTS)) == 0) {
+    if (strncmp(path, OBJECTS_PATH, strlen(OBJECTS_PATH)) == 0) {
         handle_object(store, req);
     }
     else if (strcmp(path, "/v1/hosts") == 0) {
@@ -251,56 +257,56 @@
 }
 
 static void
-handle(http_req_t *req, void *arg)
+handle_or_delay(http_req_t *req, void *arg)
 {
     store_t *store = arg;
     LOCK_SCOPE(&store->lock);
-    if (store->slow_ms == 0 || strcmp(http_req_path(req), "/control") == 0) {
+    if (store->delay_ms == 0 || strcmp(http_req_path(req), "/control") == 0) {
         handle_now(store, req);
         return;
     }
-    /* Slow: the effect comes at once, the answer later, as when a network
-     * holds it back.  Only writes can be told apart, so only they wait. */
-    delayed_t *delay = mem_zalloc(sizeof(*delay));
+    /* When slow, each request but /control waits here and is handled, with
+     * its effect, when the delay is over. */
+    delayed_request_t *delayed = mem_zalloc(sizeof(*delayed));
     http_req_hold(req);
-    delay->req = req;
-    delay->due_ms = time_mono_ms() + store->slow_ms;
-    CK_LIST_INSERT_HEAD(&store->delays, delay, entry);
+    delayed->req = req;
+    delayed->due_ms = time_mono_ms() + store->delay_ms;
+    CK_LIST_INSERT_HEAD(&store->delayed_requests, delayed, entry);
 }
 
 static void
-tick(store_t *store)
+answer_due_requests(store_t *store)
 {
     LOCK_SCOPE(&store->lock);
     int64_t now = time_mono_ms();
-    waiter_t *waiter;
-    waiter_t *next;
-    CK_LIST_FOREACH_SAFE (waiter, &store->waiters, entry, next) {
-        if (now < waiter->due_ms && !fake_store_stop) {
+    watcher_t *watcher;
+    watcher_t *next;
+    CK_LIST_FOREACH_SAFE (watcher, &store->watchers, entry, next) {
+        if (now < watcher->due_ms && !fake_store_stop) {
             continue;
         }
-        http_req_reply(waiter->req, 204, "text/plain", "", 0);
-        http_req_release(waiter->req);
-        CK_LIST_REMOVE(waiter, entry);
-        free(waiter);
+        http_req_reply(watcher->req, 204, "text/plain", "", 0);
+        http_req_release(watcher->req);
+        CK_LIST_REMOVE(watcher, entry);
+        free(watcher);
     }
-    delayed_t *delay;
-    delayed_t *after;
-    CK_LIST_FOREACH_SAFE (delay, &store->delays, entry, after) {
-        if (now < delay->due_ms && !fake_store_stop) {
+    delayed_request_t *delayed;
+    delayed_request_t *after;
+    CK_LIST_FOREACH_SAFE (delayed, &store->delayed_requests, entry, after) {
+        if (now < delayed->due_ms && !fake_store_stop) {
             continue;
         }
-        handle_now(store, delay->req);
-        http_req_release(delay->req);
-        CK_LIST_REMOVE(delay, entry);
-        free(delay);
+        handle_now(store, delayed->req);
+        http_req_release(delayed->req);
+        CK_LIST_REMOVE(delayed, entry);
+        free(delayed);
     }
 }
 
 static const struct argp_option options[] = {
     {"listen", 'l', "ADDR", 0, "IPV4:PORT to listen on", 0},
-    {"writes", 'w', "N", 0, "writes a second", 0},
-    {"reads", 'r', "N", 0, "reads a second", 0},
+    {"writes", 'w', "N", 0, "writes per second", 0},
+    {"reads", 'r', "N", 0, "reads per second", 0},
     {0},
 };
 
@@ -345,13 +351,13 @@
     (void)signal(SIGPIPE, SIG_IGN);
     log_setup("store", LOG_INFO);
     (void)pthread_mutex_init(&store.lock, NULL);
-    store.writes_max = args.writes;
-    store.reads_max = args.reads;
+    store.writes_per_s_max = args.writes;
+    store.reads_per_s_max = args.reads;
     http_server_opts_t opts = {.addr = args.listen,
                                .threads = 1,
                                .body_max = 2 << 20,
                                .connections_max = 4000,
-                               .handler = handle,
+                               .handler = handle_or_delay,
                                .arg = &store};
     http_server_t *server = http_server_start(&opts, &err);
     if (server == NULL) {
@@ -359,10 +365,10 @@
         return EXIT_FAILURE;
     }
     while (!fake_store_stop) {
-        time_sleep_ms(TICK_MS);
-        tick(&store);
+        time_sleep_ms(TICK_INTERVAL_MS);
+        answer_due_requests(&store);
     }
-    tick(&store);
+    answer_due_requests(&store);
     http_server_stop(server);
     json_decref(store.objects);
     json_decref(store.hosts);
