--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -5,20 +5,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The stand-in's program.  Commands come by POST to the store's address:
- * /admin/store {down, silent, lose, forget}, /admin/server/ID {mode, draining,
- * gone, events, gap_ms}, /admin/object/KIND/NAME with a specification. */
+/* Entry point of the platform stand-in.  Commands are sent to the store's
+ * address: /admin/store {down, silent, lose, forget}, /admin/server/ID {mode,
+ * draining, gone, events, gap_ms}, /admin/object/KIND/NAME with a
+ * specification. */
 
-#define SERVERS_AT_MOST 32
+#define SERVERS_MAX 32
 #define ADMIN_STORE "/admin/store"
 #define ADMIN_SERVER "/admin/server/"
 #define ADMIN_OBJECT "/admin/object/"
 
 typedef struct {
-    const char *addr;
-    const char *record;
-    const char *servers[SERVERS_AT_MOST];
-    size_t count;
+    const char *store_addr;
+    const char *record_path;
+    const char *servers[SERVERS_MAX];
+    size_t server_count;
 } args_t;
 
 typedef struct {
@@ -28,9 +29,10 @@
 
 static const struct argp_option options[] = {
     {"store", 's', "IPV4:PORT", 0, "address of the store", 0},
-    {"record", 'r', "FILE", 0, "a line for each run and order", 0},
+    {"record", 'r', "FILE", 0,
+     "file for a line per request and order executed", 0},
     {"server", 'b', "ID,SERVICE,IPV4:PORT,DC,engine|plain[,IPV4:PORT]", 0,
-     "a backend server, and where others reach it", 0},
+     "a backend server, and the address in its entry", 0},
     {0},
 };
 
@@ -40,20 +42,20 @@
     args_t *args = state->input;
     switch (key) {
         case 's':
-            args->addr = arg;
+            args->store_addr = arg;
             return 0;
         case 'r':
-            args->record = arg;
+            args->record_path = arg;
             return 0;
         case 'b':
-            if (args->count == SERVERS_AT_MOST) {
-                argp_error(state, "at most %d servers", SERVERS_AT_MOST);
+            if (args->server_count == SERVERS_MAX) {
+                argp_error(state, "at most %d servers", SERVERS_MAX);
             }
-            args->servers[args->count++] = arg;
+            args->servers[args->server_count++] = arg;
             return 0;
         case ARGP_KEY_END:
-            if (args->addr == NULL || args->record == NULL) {
-                argp_error(state, "--store and --record are needed");
+            if (args->store_addr == NULL || args->record_path == NULL) {
+                argp_error(state, "--store and --record are required");
             }
             return 0;
         default:
@@ -76,9 +78,10 @@
     if (json_object_get(command, "silent") != NULL) {
         store->faults.silent = json_flag(command, "silent");
     }
-    store->faults.lose = (int)json_int(command, "lose", store->faults.lose);
+    store->faults.answers_to_drop =
+        (int)json_int(command, "lose", store->faults.answers_to_drop);
     if (json_flag(command, "forget")) {
-        store->faults.history_at = store->revision + 1;
+        store->faults.history_start = store->revision + 1;
         store->revision += 2;
     }
 }
@@ -118,7 +121,7 @@
         store_handle(req, &platform->store);
         return;
     }
-    CLEAN_JSON json_t *command = body_json(req);
+    CLEAN_JSON json_t *command = parse_body(req);
     int status = 0;
     if (strcmp(path, ADMIN_STORE) == 0) {
         admin_store(&platform->store, command);
@@ -150,23 +153,23 @@
     platform_t *platform = mem_zalloc(sizeof(*platform));
     (void)argp_parse(&arguments, argc, argv, 0, NULL, &args);
     (void)signal(SIGPIPE, SIG_IGN);
-    FILE *record = fopen(args.record, "ae");
+    FILE *record = fopen(args.record_path, "ae");
     struct event_base *base = event_base_new();
     struct event *stop = evsignal_new(base, SIGTERM, on_signal, base);
     (void)event_add(stop, NULL);
-    store_open(&platform->store, base);
+    store_init(&platform->store, base);
     CK_LIST_INIT(&platform->servers);
     struct evhttp *http = evhttp_new(base);
     evhttp_set_gencb(http, handle, platform);
-    const char *colon = strchr(args.addr, ':');
+    const char *colon = strchr(args.store_addr, ':');
     if (record == NULL || colon == NULL ||
         evhttp_bind_socket(http, "127.0.0.1",
                            (uint16_t)strtoul(colon + 1, NULL, 10)) != 0) {
         (void)fprintf(stderr, "fake-platform: cannot use %s or %s\n",
-                      args.addr, args.record);
+                      args.store_addr, args.record_path);
         return EXIT_UNREACHABLE;
     }
-    for (size_t i = 0; i < args.count; i++) {
+    for (size_t i = 0; i < args.server_count; i++) {
         platform_server_t *server =
             server_open(&platform->store, args.servers[i], record);
         if (server == NULL) {
@@ -178,6 +181,7 @@
     }
     (void)event_base_dispatch(base);
     (void)fclose(record);
-    /* Requests that it was told never to answer are still held here. */
+    /* Exits without freeing: requests left unanswered on command are still
+     * open. */
     _Exit(EXIT_SUCCESS);
 }
--- a/fakes/platform-cache.c
+++ b/fakes/platform-cache.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 /* The list and the events of a stand-in engine's cache.  It holds the parts of
- * all prompts that it ran since its last load of weights.  Events are answered
- * at once, without waiting for one. */
+ * all prompts executed since the last load of weights.  A call for events is
+ * answered immediately, also if there are none. */
 
 #define EPOCH 1
 #define MODEL "m1"
@@ -21,34 +21,34 @@
     }
     (void)json_array_append_new(
         server->cache_events,
-        json_pack("[I,s,O,O,I,s]", (json_int_t)++server->cache_next, sign,
-                  json_array_get(part, 0), json_array_get(part, 1),
+        json_pack("[I,s,O,O,I,s]", (json_int_t)++server->newest_cache_event,
+                  sign, json_array_get(part, 0), json_array_get(part, 1),
                   (json_int_t)tokens, MODEL));
 }
 
 static void
-hold_part(platform_server_t *server, const char *salt, const char *id,
-          int64_t tokens)
+add_part(platform_server_t *server, const char *salt, const char *id,
+         int64_t tokens)
 {
     char key[256];
     (void)snprintf(key, sizeof(key), "%s/%s", salt, id);
-    if (server->cache_held == NULL) {
-        server->cache_held = json_object();
+    if (server->cached_parts == NULL) {
+        server->cached_parts = json_object();
     }
-    if (json_object_get(server->cache_held, key) != NULL) {
+    if (json_object_get(server->cached_parts, key) != NULL) {
         return;
     }
     json_t *part = json_pack("[s,s,I,s]", salt, id, (json_int_t)tokens, MODEL);
     add_event(server, "+", part, tokens);
-    (void)json_object_set_new(server->cache_held, key, part);
+    (void)json_object_set_new(server->cached_parts, key, part);
 }
 
-/* A request runs: its prompt's parts are held from now on. */
+/* Adds the parts of a request's prompt to the cache. */
 void
-server_cache_run(platform_server_t *server, struct evhttp_request *req)
+server_cache_add_prompt(platform_server_t *server, struct evhttp_request *req)
 {
-    const char *salt = header_of(req, wire_header_name(HEADER_CACHE_SALT));
-    const char *prompt = header_of(req, wire_header_name(HEADER_PROMPT));
+    const char *salt = find_header(req, wire_header_name(HEADER_CACHE_SALT));
+    const char *prompt = find_header(req, wire_header_name(HEADER_PROMPT));
     char copy[1024];
     char *rest = copy;
     char *word;
@@ -60,22 +60,22 @@
         char *colon = strchr(word, ':');
         if (colon != NULL) {
             *colon = '\0';
-            hold_part(server, salt != NULL ? salt : "", word,
-                      strtoll(colon + 1, NULL, 10));
+            add_part(server, salt != NULL ? salt : "", word,
+                     strtoll(colon + 1, NULL, 10));
         }
     }
 }
 
-/* Other weights: nothing is held any more. */
+/* Removes all parts, as when other weights are loaded. */
 void
 server_cache_clear(platform_server_t *server)
 {
     const char *key;
     json_t *part;
-    json_object_foreach (server->cache_held, key, part) {
+    json_object_foreach (server->cached_parts, key, part) {
         add_event(server, "-", part, 0);
     }
-    (void)json_object_clear(server->cache_held);
+    (void)json_object_clear(server->cached_parts);
 }
 
 static void
@@ -84,12 +84,12 @@
     json_t *held = json_array();
     const char *key;
     json_t *part;
-    json_object_foreach (server->cache_held, key, part) {
+    json_object_foreach (server->cached_parts, key, part) {
         (void)json_array_append(held, part);
     }
     CLEAN_JSON json_t *list =
         json_pack("{s:i,s:I,s:o}", "epoch", EPOCH, "next",
-                  (json_int_t)server->cache_next, "held", held);
+                  (json_int_t)server->newest_cache_event, "held", held);
     answer_json(req, 200, list);
 }
 
@@ -105,15 +105,15 @@
             (void)json_array_append(found, event);
         }
     }
-    CLEAN_JSON json_t *page =
-        json_pack("{s:i,s:I,s:b,s:o}", "epoch", EPOCH, "next",
-                  (json_int_t)server->cache_next, "lost", 0, "events", found);
+    CLEAN_JSON json_t *page = json_pack(
+        "{s:i,s:I,s:b,s:o}", "epoch", EPOCH, "next",
+        (json_int_t)server->newest_cache_event, "lost", 0, "events", found);
     answer_json(req, 200, page);
 }
 
-/* Answers a call about the cache; false if the call is none. */
+/* Answers a call for the cache's list or events; false for any other path. */
 bool
-server_cache_answer(const platform_server_t *server,
+server_cache_handle(const platform_server_t *server,
                     struct evhttp_request *req, const char *path)
 {
     if (strcmp(path, "/kv-list") == 0) {
--- a/fakes/platform-server.c
+++ b/fakes/platform-server.c
@@ -5,26 +5,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BEAT_MS 300
-#define WORK_MS 15
-#define LOAD_MS 300
+#define HEARTBEAT_MS 300
+#define REQUEST_MS 15
+#define WEIGHTS_LOAD_MS 300
 #define SLOTS 8
 #define MODEL "m1"
 #define EVENT_TEXT_MAX 128
 
-/* One answer that is being made. */
+/* A request in execution. */
 typedef struct {
     platform_server_t *server;
     struct evhttp_request *req;
-    unsigned next; /* event */
-    unsigned last;
-    bool closed; /* its reader has gone */
+    unsigned next_event; /* number of the next event to send */
+    unsigned last_event; /* number of the last event of the stream */
+    bool closed;         /* the client has closed the connection */
 } run_t;
 
-/* ---- its entry ---- */
+/* ---- the entry in the store ---- */
 
 static json_t *
-entry_of(const platform_server_t *server)
+make_entry(const platform_server_t *server)
 {
     json_t *entry =
         json_pack("{s:s,s:s,s:s,s:s,s:i,s:s,s:i,s:I,s:I}", "service",
@@ -42,21 +42,21 @@
 }
 
 static void
-on_beat(evutil_socket_t fd, short what, void *arg)
+on_heartbeat(evutil_socket_t fd, short what, void *arg)
 {
     platform_server_t *server = arg;
     (void)fd;
     (void)what;
-    server->beats++;
-    if (!server->gone && !server->store->faults.down &&
+    server->heartbeat_count++;
+    if (!server->removed && !server->store->faults.down &&
         !server->store->faults.silent) {
-        store_set(server->store, "servers", server->id, entry_of(server));
+        store_set(server->store, "servers", server->id, make_entry(server));
     }
 }
 
 /* ---- requests ---- */
 
-/* A line for each run, with what the tests look at. */
+/* Records a request with the headers that tests check. */
 static void
 record_run(platform_server_t *server, struct evhttp_request *req)
 {
@@ -68,7 +68,7 @@
     (void)fprintf(server->record, "run server=%s uri=%s body=%zu", server->id,
                   evhttp_request_get_uri(req), evbuffer_get_length(body));
     for (size_t i = 0; i < sizeof(shown) / sizeof(shown[0]); i++) {
-        const char *value = header_of(req, wire_header_name(shown[i]));
+        const char *value = find_header(req, wire_header_name(shown[i]));
         (void)fprintf(server->record, " %s=%s", wire_header_name(shown[i]),
                       value != NULL ? value : "-");
     }
@@ -88,7 +88,7 @@
 {
     char load[64];
     char signature[CS_NAME_MAX * 2];
-    const char *id = header_of(req, wire_header_name(HEADER_REQUEST_ID));
+    const char *id = find_header(req, wire_header_name(HEADER_REQUEST_ID));
     (void)snprintf(load, sizeof(load), "%d,0,%d", server->running, SLOTS);
     (void)snprintf(signature, sizeof(signature), "sig.%s.%s", server->id,
                    id != NULL ? id : "-");
@@ -98,7 +98,7 @@
 }
 
 static void
-refuse(platform_server_t *server, struct evhttp_request *req, int status)
+reject(platform_server_t *server, struct evhttp_request *req, int status)
 {
     add_header(req, HEADER_NOT_RUN, "1");
     add_header(req, HEADER_SERVER_ID, server->id);
@@ -120,9 +120,9 @@
     run->closed = true;
 }
 
-/* Break the connection in the middle of things. */
+/* Shuts the connection down, whatever is still to be sent. */
 static void
-cut(struct evhttp_request *req)
+shut_connection(struct evhttp_request *req)
 {
     struct bufferevent *bev =
         evhttp_connection_get_bufferevent(evhttp_request_get_connection(req));
@@ -137,48 +137,50 @@
     struct evbuffer *out = evbuffer_new();
     (void)fd;
     (void)what;
-    if (run->closed || server->gone) {
+    if (run->closed || server->removed) {
         if (!run->closed) {
             evhttp_connection_set_closecb(
                 evhttp_request_get_connection(run->req), NULL, NULL);
-            cut(run->req);
+            shut_connection(run->req);
         }
         run_free(run);
         evbuffer_free(out);
         return;
     }
-    (void)evbuffer_add_printf(out, "id: %u\ndata: token-%u\n\n", run->next,
-                              run->next);
-    if (server->mode == MODE_CUT && run->next == run->last / 2) {
-        (void)evbuffer_add_printf(out, "id: %u\nda", run->next + 1);
+    (void)evbuffer_add_printf(out, "id: %u\ndata: token-%u\n\n",
+                              run->next_event, run->next_event);
+    if (server->mode == MODE_CUT && run->next_event == run->last_event / 2) {
+        (void)evbuffer_add_printf(out, "id: %u\nda", run->next_event + 1);
         evhttp_send_reply_chunk(run->req, out);
         evhttp_connection_set_closecb(evhttp_request_get_connection(run->req),
                                       NULL, NULL);
-        cut(run->req);
+        shut_connection(run->req);
         run_free(run);
         evbuffer_free(out);
         return;
     }
     evhttp_send_reply_chunk(run->req, out);
     evbuffer_free(out);
-    if (run->next++ == run->last) {
+    if (run->next_event++ == run->last_event) {
         evhttp_connection_set_closecb(evhttp_request_get_connection(run->req),
                                       NULL, NULL);
         evhttp_send_reply_end(run->req);
         run_free(run);
         return;
     }
-    later(server->store->base, server->gap_ms, on_event_due, run);
+    run_later(server->store->base, server->event_interval_ms, on_event_due,
+              run);
 }
 
 static void
 begin_stream(run_t *run)
 {
-    const char *last =
-        header_of(run->req, wire_header_name(HEADER_LAST_EVENT));
+    const char *last_id =
+        find_header(run->req, wire_header_name(HEADER_LAST_EVENT));
     char version[32];
-    run->next = last != NULL ? (unsigned)strtoul(last, NULL, 10) + 1 : 1;
-    run->last = run->server->events;
+    run->next_event =
+        last_id != NULL ? (unsigned)strtoul(last_id, NULL, 10) + 1 : 1;
+    run->last_event = run->server->events;
     (void)snprintf(version, sizeof(version), "%lld",
                    (long long)run->server->version);
     add_header(run->req, HEADER_WEIGHTS, version);
@@ -188,7 +190,8 @@
     on_event_due(-1, 0, run);
 }
 
-/* An answer to somebody else comes first, as of a request before. */
+/* Sends an answer that carries another request's id, as a late answer to an
+ * earlier request on the connection would. */
 static void
 send_foreign(struct evhttp_request *req)
 {
@@ -214,8 +217,8 @@
     }
     evhttp_connection_set_closecb(evhttp_request_get_connection(run->req),
                                   NULL, NULL);
-    if (server->mode == MODE_RESET || server->gone) {
-        cut(run->req);
+    if (server->mode == MODE_RESET || server->removed) {
+        shut_connection(run->req);
         run_free(run);
         return;
     }
@@ -230,13 +233,14 @@
     run_free(run);
 }
 
-/* Whether the request may begin here, as its headers say. */
+/* Tells whether this is the server and weights version that the request's
+ * headers expect. */
 static bool
 is_expected(const platform_server_t *server, struct evhttp_request *req)
 {
-    const char *id = header_of(req, wire_header_name(HEADER_EXPECT_SERVER));
+    const char *id = find_header(req, wire_header_name(HEADER_EXPECT_SERVER));
     const char *version =
-        header_of(req, wire_header_name(HEADER_EXPECT_VERSION));
+        find_header(req, wire_header_name(HEADER_EXPECT_VERSION));
     return (id == NULL || strcmp(id, server->id) == 0) &&
            (version == NULL || strtoll(version, NULL, 10) == server->version);
 }
@@ -245,11 +249,11 @@
 run_request(platform_server_t *server, struct evhttp_request *req)
 {
     if (!is_expected(server, req)) {
-        refuse(server, req, 421);
+        reject(server, req, 421);
         return;
     }
     if (server->mode == MODE_SHED || server->loading) {
-        refuse(server, req, 503);
+        reject(server, req, 503);
         return;
     }
     run_t *run = mem_zalloc(sizeof(*run));
@@ -258,7 +262,7 @@
     server->running++;
     record_run(server, req);
     if (server->engine) {
-        server_cache_run(server, req);
+        server_cache_add_prompt(server, req);
     }
     add_identity(server, req);
     evhttp_connection_set_closecb(evhttp_request_get_connection(req),
@@ -270,10 +274,10 @@
         begin_stream(run);
         return;
     }
-    later(server->store->base, WORK_MS, on_work_done, run);
+    run_later(server->store->base, REQUEST_MS, on_work_done, run);
 }
 
-/* ---- its own calls ---- */
+/* ---- reports and orders ---- */
 
 static void
 answer_report(const platform_server_t *server, struct evhttp_request *req)
@@ -282,20 +286,20 @@
         "{s:s,s:[{s:s,s:I,s:[]}],s:b,s:I,s:i,s:i,s:I}", "stage", "both",
         "models", "name", MODEL, "version", (json_int_t)server->version,
         "adapters", "busy", server->loading, "sequence",
-        (json_int_t)server->orders, "queued_requests", 0, "active_requests",
-        server->running, "born", (json_int_t)1000);
+        (json_int_t)server->order_count, "queued_requests", 0,
+        "active_requests", server->running, "born", (json_int_t)1000);
     answer_json(req, 200, report);
 }
 
 typedef struct {
     platform_server_t *server;
     int64_t version;
-} load_t;
+} weights_load_t;
 
 static void
-on_loaded(evutil_socket_t fd, short what, void *arg)
+on_weights_loaded(evutil_socket_t fd, short what, void *arg)
 {
-    load_t *load = arg;
+    weights_load_t *load = arg;
     (void)fd;
     (void)what;
     load->server->version = load->version;
@@ -305,38 +309,38 @@
 }
 
 static int
-take_order(platform_server_t *server, const json_t *order)
+apply_order(platform_server_t *server, const json_t *order)
 {
-    int64_t fence = json_int(order, "fencing_token", 0);
+    int64_t fencing_token = json_int(order, "fencing_token", 0);
     int64_t version = json_int(order, "version", 0);
-    if (json_text(order, "holder") == NULL || fence == 0) {
+    if (json_text(order, "holder") == NULL || fencing_token == 0) {
         return 400;
     }
-    if (fence < server->fence) {
+    if (fencing_token < server->fencing_token) {
         return 412;
     }
-    server->fence = fence;
+    server->fencing_token = fencing_token;
     if (version == server->version) {
         return 200;
     }
-    if (server->loading ||
-        json_int(order, "expect", server->orders) != server->orders) {
+    if (server->loading || json_int(order, "expect", server->order_count) !=
+                               server->order_count) {
         return 409;
     }
-    server->orders++;
+    server->order_count++;
     server->loading = true;
-    load_t *load = mem_zalloc(sizeof(*load));
-    *load = (load_t){server, version};
-    later(server->store->base, LOAD_MS, on_loaded, load);
+    weights_load_t *load = mem_zalloc(sizeof(*load));
+    *load = (weights_load_t){server, version};
+    run_later(server->store->base, WEIGHTS_LOAD_MS, on_weights_loaded, load);
     return 202;
 }
 
 static void
 answer_order(platform_server_t *server, struct evhttp_request *req)
 {
-    CLEAN_JSON json_t *order = body_json(req);
+    CLEAN_JSON json_t *order = parse_body(req);
     CLEAN_TEXT char *text = json_dumps(order, JSON_COMPACT);
-    int status = take_order(server, order);
+    int status = apply_order(server, order);
     (void)fprintf(server->record, "order server=%s status=%d %s\n", server->id,
                   status, text);
     (void)fflush(server->record);
@@ -361,26 +365,26 @@
         evhttp_send_reply(req, server->draining ? 503 : 200, NULL, NULL);
     }
     else if (!server->engine || path == NULL ||
-             !server_cache_answer(server, req, path)) {
+             !server_cache_handle(server, req, path)) {
         run_request(server, req);
     }
 }
 
-/* Open a server: ID,SERVICE,IPV4:PORT,DC,engine|plain[,IPV4:PORT], the last
- * being the address that its entry tells, where others reach it. */
+/* Opens a server: ID,SERVICE,IPV4:PORT,DC,engine|plain[,IPV4:PORT]. The second
+ * address, if given, is the one in its entry, where clients reach it. */
 platform_server_t *
-server_open(platform_store_t *store, const char *words, FILE *record)
+server_open(platform_store_t *store, const char *spec, FILE *record)
 {
     char copy[512];
     char *rest = copy;
     platform_server_t *server = mem_zalloc(sizeof(*server));
-    static const struct timeval beat = {0, BEAT_MS * 1000};
-    str_copy(copy, sizeof(copy), words);
+    static const struct timeval interval = {0, HEARTBEAT_MS * 1000};
+    str_copy(copy, sizeof(copy), spec);
     server->store = store;
     server->record = record;
     server->version = 1;
     server->events = 8;
-    server->gap_ms = 20;
+    server->event_interval_ms = 20;
     const char *parts[6] = {"", "", "", "", "", ""};
     for (size_t i = 0; i < 6 && rest != NULL; i++) {
         parts[i] = strsep(&rest, ",");
@@ -404,34 +408,35 @@
         free(server);
         return NULL;
     }
-    server->beat = event_new(store->base, -1, EV_PERSIST, on_beat, server);
-    (void)event_add(server->beat, &beat);
-    on_beat(-1, 0, server);
+    server->heartbeat_timer =
+        event_new(store->base, -1, EV_PERSIST, on_heartbeat, server);
+    (void)event_add(server->heartbeat_timer, &interval);
+    on_heartbeat(-1, 0, server);
     return server;
 }
 
-static const char *const mode_words[] = {"well",   "shed", "error",  "reset",
+static const char *const mode_names[] = {"well",   "shed", "error",  "reset",
                                          "silent", "cut",  "foreign"};
 
-/* Change what a server does: mode, draining, gone, events, gap_ms. */
+/* Applies a command to a server: mode, draining, gone, events, gap_ms. */
 int
 server_command(platform_server_t *server, const json_t *command)
 {
     const char *mode = json_text(command, "mode");
     for (size_t i = 0; mode != NULL && i < 7; i++) {
-        if (strcmp(mode, mode_words[i]) == 0) {
+        if (strcmp(mode, mode_names[i]) == 0) {
             server->mode = (server_mode_t)i;
         }
     }
     server->events =
         (unsigned)json_int(command, "events", (int64_t)server->events);
-    server->gap_ms =
-        (unsigned)json_int(command, "gap_ms", (int64_t)server->gap_ms);
+    server->event_interval_ms = (unsigned)json_int(
+        command, "gap_ms", (int64_t)server->event_interval_ms);
     server->draining = server->draining || json_flag(command, "draining");
     if (json_flag(command, "gone")) {
-        server->gone = true;
+        server->removed = true;
         store_remove(server->store, "servers", server->id);
     }
-    on_beat(-1, 0, server);
+    on_heartbeat(-1, 0, server);
     return 0;
 }
--- a/fakes/platform-store.c
+++ b/fakes/platform-store.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define OBJECTS_PATH "/objects/"
-#define PAGE_OBJECTS 50
+#define PAGE_OBJECTS_MAX 50
 
 void
 answer_json(struct evhttp_request *req, int status, const json_t *body)
@@ -20,7 +20,7 @@
 }
 
 json_t *
-body_json(struct evhttp_request *req)
+parse_body(struct evhttp_request *req)
 {
     struct evbuffer *in = evhttp_request_get_input_buffer(req);
     size_t len = evbuffer_get_length(in);
@@ -28,22 +28,22 @@
 }
 
 const char *
-header_of(struct evhttp_request *req, const char *name)
+find_header(struct evhttp_request *req, const char *name)
 {
     return evhttp_find_header(evhttp_request_get_input_headers(req), name);
 }
 
-/* Run something once, so many ms from now. */
+/* Calls a function once, after a number of ms. */
 void
-later(struct event_base *base, int64_t ms,
-      void (*run)(evutil_socket_t, short, void *), void *arg)
+run_later(struct event_base *base, int64_t ms,
+          void (*run)(evutil_socket_t, short, void *), void *arg)
 {
     struct timeval after = {ms / 1000, ms % 1000 * 1000};
     (void)event_base_once(base, -1, EV_TIMEOUT, run, arg, &after);
 }
 
 void
-store_open(platform_store_t *store, struct event_base *base)
+store_init(platform_store_t *store, struct event_base *base)
 {
     memset(store, 0, sizeof(*store));
     store->base = base;
@@ -53,7 +53,7 @@
 }
 
 static json_t *
-kind_of(platform_store_t *store, const char *kind)
+find_or_add_kind(platform_store_t *store, const char *kind)
 {
     json_t *objects = json_object_get(store->kinds, kind);
     if (objects == NULL) {
@@ -64,19 +64,19 @@
 }
 
 json_t *
-store_object(platform_store_t *store, const char *kind, const char *name)
+store_find_object(platform_store_t *store, const char *kind, const char *name)
 {
-    return json_object_get(kind_of(store, kind), name);
+    return json_object_get(find_or_add_kind(store, kind), name);
 }
 
 static json_t *
-events_since(platform_store_t *store, const char *kind, int64_t from)
+events_since(platform_store_t *store, const char *kind, int64_t after_revision)
 {
     json_t *out = json_array();
     size_t index;
     json_t *event;
     json_array_foreach (store->events, index, event) {
-        if (json_int(event, "revision", 0) > from &&
+        if (json_int(event, "revision", 0) > after_revision &&
             json_text_is(event, "kind", kind)) {
             (void)json_array_append(out, event);
         }
@@ -98,8 +98,8 @@
     platform_store_t *store = watcher->store;
     CLEAN_JSON json_t *body =
         json_pack("{s:o,s:I}", "events",
-                  events_since(store, watcher->kind, watcher->from), "at",
-                  (json_int_t)store->revision);
+                  events_since(store, watcher->kind, watcher->after_revision),
+                  "at", (json_int_t)store->revision);
     struct evhttp_request *req = watcher->req;
     watcher_free(watcher);
     answer_json(req, 200, body);
@@ -114,8 +114,8 @@
 }
 
 static void
-note_event(platform_store_t *store, const char *kind, json_t *object,
-           bool tombstone)
+publish_event(platform_store_t *store, const char *kind, json_t *object,
+              bool tombstone)
 {
     watcher_t *watcher;
     watcher_t *next;
@@ -130,12 +130,12 @@
     }
 }
 
-/* Put a specification in; one that changes nothing makes no revision. */
+/* Sets an object's specification. An unchanged one makes no new revision. */
 void
 store_set(platform_store_t *store, const char *kind, const char *name,
           json_t *spec)
 {
-    json_t *old = store_object(store, kind, name);
+    json_t *old = store_find_object(store, kind, name);
     if (old != NULL &&
         json_equal(json_object_get(old, "specification"), spec)) {
         json_decref(spec);
@@ -147,22 +147,22 @@
                   name, "revision", (json_int_t)store->revision, "created",
                   (json_int_t)store->revision, "finalizers",
                   "deletion_pending", 0, "specification", spec, "status");
-    (void)json_object_set(kind_of(store, kind), name, object);
-    note_event(store, kind, object, false);
+    (void)json_object_set(find_or_add_kind(store, kind), name, object);
+    publish_event(store, kind, object, false);
     json_decref(object);
 }
 
 void
 store_remove(platform_store_t *store, const char *kind, const char *name)
 {
-    json_t *object = store_object(store, kind, name);
+    json_t *object = store_find_object(store, kind, name);
     if (object == NULL) {
         return;
     }
     json_incref(object);
     store->revision++;
-    (void)json_object_del(kind_of(store, kind), name);
-    note_event(store, kind, object, true);
+    (void)json_object_del(find_or_add_kind(store, kind), name);
+    publish_event(store, kind, object, true);
     json_decref(object);
 }
 
@@ -173,14 +173,14 @@
     json_t *items = json_array();
     const char *name;
     json_t *object;
-    bool behind = after == NULL;
+    bool past_cursor = after == NULL;
     bool more = false;
-    json_object_foreach (kind_of(store, kind), name, object) {
-        if (!behind) {
-            behind = strcmp(name, after) == 0;
+    json_object_foreach (find_or_add_kind(store, kind), name, object) {
+        if (!past_cursor) {
+            past_cursor = strcmp(name, after) == 0;
             continue;
         }
-        if (json_array_size(items) == PAGE_OBJECTS) {
+        if (json_array_size(items) == PAGE_OBJECTS_MAX) {
             more = true;
             break;
         }
@@ -196,20 +196,21 @@
 answer_watch(platform_store_t *store, struct evhttp_request *req,
              const char *kind, const struct evkeyvalq *query)
 {
-    const char *from = evhttp_find_header(query, "watch");
+    const char *after_revision = evhttp_find_header(query, "watch");
     const char *wait = evhttp_find_header(query, "wait_ms");
     watcher_t *watcher = mem_zalloc(sizeof(*watcher));
     watcher->store = store;
     watcher->req = req;
-    watcher->from = strtoll(from, NULL, 10);
+    watcher->after_revision = strtoll(after_revision, NULL, 10);
     str_copy(watcher->kind, sizeof(watcher->kind), kind);
     watcher->timer = evtimer_new(store->base, on_watch_end, watcher);
     CK_LIST_INSERT_HEAD(&store->watchers, watcher, entry);
-    CLEAN_JSON json_t *events = events_since(store, kind, watcher->from);
-    if (watcher->from < store->faults.history_at) {
-        CLEAN_JSON json_t *gone = json_pack("{s:s}", "error", "history gone");
+    CLEAN_JSON json_t *events =
+        events_since(store, kind, watcher->after_revision);
+    if (watcher->after_revision < store->faults.history_start) {
+        CLEAN_JSON json_t *error = json_pack("{s:s}", "error", "history gone");
         watcher_free(watcher);
-        answer_json(req, 410, gone);
+        answer_json(req, 410, error);
         return;
     }
     if (json_array_size(events) > 0 || wait == NULL) {
@@ -230,7 +231,7 @@
         evhttp_uri_get_query(evhttp_request_get_evhttp_uri(req));
     (void)evhttp_parse_query_str(text != NULL ? text : "", &query);
     if (name != NULL) {
-        const json_t *object = store_object(store, kind, name);
+        const json_t *object = store_find_object(store, kind, name);
         CLEAN_JSON json_t *none = json_pack("{s:s}", "error", "absent");
         answer_json(req, object != NULL ? 200 : 404,
                     object != NULL ? object : none);
@@ -245,15 +246,17 @@
 }
 
 static int
-do_write(platform_store_t *store, enum evhttp_cmd_type method,
-         const char *kind, const char *name, const json_t *body)
+apply_write(platform_store_t *store, enum evhttp_cmd_type method,
+            const char *kind, const char *name, const json_t *body)
 {
     const json_t *metadata = json_object_get(body, "metadata");
-    const char *named = name != NULL ? name : json_text(metadata, "name");
+    const char *object_name =
+        name != NULL ? name : json_text(metadata, "name");
     json_t *spec = json_object_get(body, "specification");
-    const json_t *old =
-        named != NULL ? store_object(store, kind, named) : NULL;
-    if (named == NULL || spec == NULL) {
+    const json_t *old = object_name != NULL
+                            ? store_find_object(store, kind, object_name)
+                            : NULL;
+    if (object_name == NULL || spec == NULL) {
         return 400;
     }
     if (method == EVHTTP_REQ_POST && old != NULL) {
@@ -262,12 +265,13 @@
     if (method == EVHTTP_REQ_PUT && old == NULL) {
         return 404;
     }
-    int64_t want = json_int(metadata, "revision", 0);
-    if (want != 0 &&
-        want != json_int(json_object_get(old, "metadata"), "revision", 0)) {
+    int64_t expected_revision = json_int(metadata, "revision", 0);
+    if (expected_revision != 0 &&
+        expected_revision !=
+            json_int(json_object_get(old, "metadata"), "revision", 0)) {
         return 409;
     }
-    store_set(store, kind, named, json_incref(spec));
+    store_set(store, kind, object_name, json_incref(spec));
     return method == EVHTTP_REQ_POST ? 201 : 200;
 }
 
@@ -275,23 +279,24 @@
 answer_write(platform_store_t *store, struct evhttp_request *req,
              const char *kind, const char *name)
 {
-    CLEAN_JSON json_t *body = body_json(req);
+    CLEAN_JSON json_t *body = parse_body(req);
     int status =
-        do_write(store, evhttp_request_get_command(req), kind, name, body);
-    const char *named =
+        apply_write(store, evhttp_request_get_command(req), kind, name, body);
+    const char *object_name =
         name != NULL ? name
                      : json_text(json_object_get(body, "metadata"), "name");
-    if (status < 300 && store->faults.lose > 0) {
-        store->faults.lose--;
-        return; /* done, and never answered */
+    if (status < 300 && store->faults.answers_to_drop > 0) {
+        store->faults.answers_to_drop--;
+        return; /* applied, but never answered */
     }
-    const json_t *object =
-        named != NULL ? store_object(store, kind, named) : NULL;
+    const json_t *object = object_name != NULL
+                               ? store_find_object(store, kind, object_name)
+                               : NULL;
     CLEAN_JSON json_t *none = json_pack("{s:s}", "error", "refused");
     answer_json(req, status, object != NULL ? object : none);
 }
 
-/* A call to the store. */
+/* Handles a call to the store. */
 void
 store_handle(struct evhttp_request *req, void *arg)
 {
--- a/fakes/platform.h
+++ b/fakes/platform.h
@@ -2,8 +2,8 @@
 #define CELERYSPOOL_FAKE_PLATFORM_H
 
 /* Stand-in for the users' platform: its store and its servers, in one process
- * and one event loop.  It speaks what the platform publishes, as far as the
- * tests need it, and misbehaves on command. */
+ * and one event loop.  It implements the platform's published interface as far
+ * as the tests need it, and injects faults on command. */
 
 #include "../kernel/base.h"
 
@@ -21,17 +21,17 @@
     struct evhttp_request *req;
     struct event *timer;
     char kind[CS_NAME_MAX];
-    int64_t from;
+    int64_t after_revision;
 } watcher_t;
 
 typedef CK_LIST_HEAD(watchers, watcher) watchers_t;
 
-/* What the store does wrong. */
+/* The store's injected faults. */
 typedef struct {
-    bool down;          /* 503 to everything */
-    bool silent;        /* no answer at all */
-    int lose;           /* so many writes are done and not answered */
-    int64_t history_at; /* what is older is forgotten: 410 */
+    bool down;             /* answers 503 to every call */
+    bool silent;           /* answers no call */
+    int answers_to_drop;   /* next writes to apply but not answer */
+    int64_t history_start; /* watches from older revisions: 410 */
 } store_faults_t;
 
 typedef struct platform_store {
@@ -43,68 +43,71 @@
     store_faults_t faults;
 } platform_store_t;
 
-void store_open(platform_store_t *store, struct event_base *base);
+void store_init(platform_store_t *store, struct event_base *base);
 void store_handle(struct evhttp_request *req, void *arg);
-json_t *store_object(platform_store_t *store, const char *kind,
-                     const char *name);
+json_t *store_find_object(platform_store_t *store, const char *kind,
+                          const char *name);
 void store_set(platform_store_t *store, const char *kind, const char *name,
                json_t *spec);
 void store_remove(platform_store_t *store, const char *kind, const char *name);
 
 /* ---- servers ---- */
 
+/* How a server answers. MODE_ERROR and MODE_FOREIGN have no effect on an
+ * engine, MODE_CUT has none on a plain server. */
 typedef enum {
-    MODE_WELL,
-    MODE_SHED,   /* 503, not executed */
-    MODE_ERROR,  /* runs, answers 500 */
-    MODE_RESET,  /* runs, then closes without an answer */
-    MODE_SILENT, /* runs, and never answers */
-    MODE_CUT,    /* breaks off in the middle of its answer */
-    MODE_FOREIGN /* an answer to somebody else first, then the right one */
+    MODE_NORMAL,
+    MODE_SHED,   /* answers 503 without executing */
+    MODE_ERROR,  /* executes, then answers 500 */
+    MODE_RESET,  /* executes, then closes without an answer */
+    MODE_SILENT, /* executes, and never answers */
+    MODE_CUT,    /* closes in the middle of its stream */
+    MODE_FOREIGN /* answers another request's id first, then its own */
 } server_mode_t;
 
 typedef struct platform_server {
     CK_LIST_ENTRY(platform_server) entry;
     platform_store_t *store;
     struct evhttp *http;
-    struct event *beat;
+    struct event *heartbeat_timer;
     char id[CS_NAME_MAX];
     char service[CS_NAME_MAX];
     char addr[CS_ADDR_MAX];
     char dc[CS_NAME_MAX];
     bool engine;
     bool draining;
-    bool gone;
+    bool removed;
     server_mode_t mode;
     int64_t version;
-    json_t *cache_held;   /* of an engine: salt/id -> part */
-    json_t *cache_events; /* the oldest first */
-    int64_t cache_next;   /* number of the newest */
-    int64_t orders;
-    int64_t fence;
+    json_t *cached_parts;       /* of an engine: salt/id -> part */
+    json_t *cache_events;       /* cache events, oldest first */
+    int64_t newest_cache_event; /* number of the newest one */
+    int64_t order_count;
+    int64_t fencing_token;
     bool loading;
-    int64_t beats;
+    int64_t heartbeat_count;
     int running;
-    unsigned events; /* of each stream */
-    unsigned gap_ms; /* between them */
-    FILE *record;    /* a line for each request that it runs */
+    unsigned events;            /* number of events of each stream */
+    unsigned event_interval_ms; /* between events of a stream */
+    FILE *record;               /* one line per request and order */
 } platform_server_t;
 
 typedef CK_LIST_HEAD(platform_servers, platform_server) platform_servers_t;
 
-void server_cache_run(platform_server_t *server, struct evhttp_request *req);
+void server_cache_add_prompt(platform_server_t *server,
+                             struct evhttp_request *req);
 void server_cache_clear(platform_server_t *server);
-bool server_cache_answer(const platform_server_t *server,
+bool server_cache_handle(const platform_server_t *server,
                          struct evhttp_request *req, const char *path);
-platform_server_t *server_open(platform_store_t *store, const char *words,
+platform_server_t *server_open(platform_store_t *store, const char *spec,
                                FILE *record);
 int server_command(platform_server_t *server, const json_t *command);
 
-/* Helpers of both. */
+/* ---- helpers of both ---- */
 void answer_json(struct evhttp_request *req, int status, const json_t *body);
-json_t *body_json(struct evhttp_request *req);
-const char *header_of(struct evhttp_request *req, const char *name);
-void later(struct event_base *base, int64_t ms,
-           void (*run)(evutil_socket_t, short, void *), void *arg);
+json_t *parse_body(struct evhttp_request *req);
+const char *find_header(struct evhttp_request *req, const char *name);
+void run_later(struct event_base *base, int64_t ms,
+               void (*run)(evutil_socket_t, short, void *), void *arg);
 
 #endif
