--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -28,20 +28,20 @@
         rng_t rng = {1};
         double begin = cpu_us();
         for (size_t i = 0; i < sizes[s]; i++) {
-            (void)cache_map_note(map, (uint16_t)(i % 600), rng_next(&rng),
-                                 512);
+            (void)cache_map_add_holder(map, (uint16_t)(i % 600),
+                                       rng_next(&rng), 512);
         }
         double notes = cpu_us() - begin;
         begin = cpu_us();
         size_t known = 0;
         for (size_t i = 0; i < sizes[s]; i++) {
-            known += cache_map_knows(map, rng_next(&rng));
+            known += cache_map_has_key(map, rng_next(&rng));
         }
         double looks = cpu_us() - begin;
         (void)printf(
             "cache map, %zu entries: %.0f bytes each, %.2f us a "
             "note, %.2f us a look (%zu known)\n",
-            sizes[s], (double)cache_map_memory(map) / (double)sizes[s],
+            sizes[s], (double)cache_map_memory_bytes(map) / (double)sizes[s],
             notes / (double)sizes[s], looks / (double)sizes[s], known);
         cache_map_free(map);
     }
@@ -57,7 +57,7 @@
         char name[32];
         char hash[KEY_HASH_LEN + 1];
         (void)snprintf(name, sizeof(name), "workspace-%d", i);
-        config_key_hash(name, hash);
+        config_hash_key(name, hash);
         (void)json_object_set_new(json_object_get(doc, "workspaces"), name,
                                   json_pack("{s:s,s:i,s:i}", "key_hash", hash,
                                             "share", 1, "priority", 0));
@@ -109,15 +109,16 @@
         for (unsigned i = 0; i < 4; i++) {
             prefix.levels[i] = (prefix_level_t){i + 1, 600 * (i + 1)};
         }
-        place_scene_t scene = {
+        place_context_t scene = {
             .config = config, .view = view, .cache = cache, .dc = "dc-1"};
-        place_ask_t ask = {.prefix = &prefix};
+        place_query_t ask = {.prefix = &prefix};
         const int rounds = 2000;
         double begin = cpu_us();
         for (int i = 0; i < rounds; i++) {
             size_t count =
-                place_candidates(&scene, "m", &prefix, NULL, all, 256);
-            ask.turn += policy_find("cost")->choose(all, count, &ask);
+                place_list_candidates(&scene, "m", &prefix, NULL, all, 256);
+            ask.placement_count +=
+                policy_find("cost")->choose(all, count, &ask);
         }
         (void)printf("placement among %d servers: %.1f us\n", sizes[s],
                      (cpu_us() - begin) / rounds);
@@ -154,7 +155,7 @@
     for (int i = 0; i < 4000; i++) {
         engine_cache_store(engine, rng_next(&rng));
     }
-    CLEAN_JSON json_t *events = engine_cache_events(engine, 0, 0, &rng);
+    CLEAN_JSON json_t *events = engine_cache_list_events(engine, 0, 0, &rng);
     CLEAN_TEXT char *text = json_dumps(events, JSON_COMPACT);
     cache_map_t *cache = cache_map_new(65536);
     double begin = cpu_us();
@@ -164,7 +165,7 @@
     size_t known = 0;
     json_array_foreach (back, i, event) {
         uint64_t key = (uint64_t)json_integer_value(json_array_get(event, 2));
-        known += cache_map_knows(cache, key);
+        known += cache_map_has_key(cache, key);
     }
     (void)printf("cache events: %.2f us and %.0f bytes each (%zu known)\n",
                  (cpu_us() - begin) / (double)i,
@@ -193,7 +194,7 @@
     for (size_t i = 0; i < 50; i++) {
         datagram.facts[i].is_load = false;
         datagram.facts[i].key = 0xfedcba9876543210ULL;
-        datagram.facts[i].tokens = 2000;
+        datagram.facts[i].prefix_tokens = 2000;
     }
     size_t levels = peer_encode(&datagram, secret, data);
     (void)printf(
@@ -220,13 +221,13 @@
         op->deadline_ms = 1 << 30;
         claim_shard_submit(shard, op);
         for (;;) {
-            claim_act_t act = claim_shard_next(shard, i, 1);
-            if (act.kind == CLAIM_ACT_NONE) {
+            claim_action_t act = claim_shard_next_action(shard, i, 1);
+            if (act.kind == CLAIM_ACTION_NONE) {
                 break;
             }
             store_reply_t reply = {
                 .result = STORE_OK, .version = version, .value = head};
-            if (act.kind == CLAIM_ACT_PUT) {
+            if (act.kind == CLAIM_ACTION_PUT) {
                 CLEAN_TEXT char *text = json_dumps(act.value, JSON_COMPACT);
                 bytes += strlen(text);
                 puts++;
@@ -238,10 +239,10 @@
             else if (head == NULL) {
                 reply.result = STORE_ABSENT;
             }
-            claim_shard_reply(shard, &reply, i);
+            claim_shard_apply_reply(shard, &reply, i);
         }
         claim_op_t *ended;
-        while ((ended = claim_shard_take(shard)) != NULL) {
+        while ((ended = claim_shard_take_completed(shard)) != NULL) {
             claim_op_free(ended);
         }
     }
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -107,7 +107,7 @@
     const char *at = buf_text(&run->text);
     for (uint32_t i = 0; i < run->client->opts.max_tokens; i++) {
         char token[16];
-        answer_token(run->seeds[version], i, token);
+        answer_format_token(run->seeds[version], i, token);
         if (strncmp(at, token, strlen(token)) != 0) {
             return false;
         }
@@ -245,7 +245,7 @@
         take_line(run, run->line.data + at);
         at = (size_t)(end - run->line.data) + 1;
     }
-    buf_drop(&run->line, at);
+    buf_consume(&run->line, at);
 }
 
 static void
@@ -283,7 +283,7 @@
     if (end == HTTP_END_UNSENT) {
         return LOAD_NOT_RUN;
     }
-    if (end == HTTP_END_WHOLE && status == 200) {
+    if (end == HTTP_END_COMPLETE && status == 200) {
         bool whole = run->done_mark || run->client->opts.whole;
         if (run->key[0] != '\0') {
             return LOAD_DONE;
@@ -301,9 +301,9 @@
 {
     chat_run_t *run = arg;
     const load_opts_t *opts = &run->client->opts;
-    bool cut = end != HTTP_END_WHOLE && end != HTTP_END_CANCELLED;
+    bool cut = end != HTTP_END_COMPLETE && end != HTTP_END_CANCELLED;
     bool chat = run->key[0] == '\0';
-    if (opts->whole && chat && end == HTTP_END_WHOLE && status == 200) {
+    if (opts->whole && chat && end == HTTP_END_COMPLETE && status == 200) {
         take_whole(run);
     }
     if (cut && chat && !run->done_mark && run->resumes < opts->resumes_max &&
--- a/kernel/base.h
+++ b/kernel/base.h
@@ -1,7 +1,7 @@
 #ifndef CELERYSPOOL_BASE_H
 #define CELERYSPOOL_BASE_H
 
-/* What every part stands on: errors, logs, events, buffers, time. */
+/* Shared utilities: errors, logs, events, buffers, clocks, text, JSON. */
 
 #include <jansson.h>
 #include <pthread.h>
@@ -15,11 +15,11 @@
 #define CS_ADDR_MAX 64
 #define CS_ID_LEN 32
 
-/* Exit statuses that all programs share. */
+/* Exit statuses common to all programs. */
 #define EXIT_SETTINGS 3
 #define EXIT_UNREACHABLE 4
 
-/* The layer that an error belongs to; each turns those from below. */
+/* The layer that reports an error; it wraps the errors of lower layers. */
 typedef enum {
     ERR_NONE,
     ERR_SETTINGS,
@@ -32,7 +32,7 @@
     ERR_COMMAND
 } err_layer_t;
 
-/* An error that is passed down and filled by the callee that fails. */
+/* An error: the caller passes it in and the function that fails fills it. */
 typedef struct {
     err_layer_t layer;
     int code;
@@ -52,7 +52,7 @@
 void log_record(log_level_t level, const char *part, const char *event,
                 const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 void log_flush(void);
-uint64_t log_left_out_total(void);
+uint64_t log_dropped_total(void);
 void log_msg(log_level_t level, const char *part, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 #define log_error(part, ...) log_msg(LOG_ERROR, part, __VA_ARGS__)
@@ -60,23 +60,24 @@
 #define log_info(part, ...) log_msg(LOG_INFO, part, __VA_ARGS__)
 #define log_debug(part, ...) log_msg(LOG_DEBUG, part, __VA_ARGS__)
 
-/* One line of the event log; empty strings are left out. */
+/* One line of the event log; NULL and empty strings are omitted. */
 typedef struct {
     const char *kind;
     const char *request;
     const char *workspace;
     const char *backend;
-    const char *sent;     /* id of a message that leaves here */
-    const char *received; /* id of a message that arrives here */
+    const char *sent;     /* id of the message sent by this process */
+    const char *received; /* id of the message received by this process */
     const char *detail;
 } event_t;
 
 int event_setup(const char *process, const char *path);
 void event_emit(const event_t *event);
-json_t *event_recent(const char *request, const char *backend, size_t max);
+json_t *event_list_recent(const char *request, const char *backend,
+                          size_t max);
 void event_close(void);
 
-/* A growable byte buffer that always keeps a NUL behind its content. */
+/* A growable byte buffer; once it has memory, a NUL follows its content. */
 typedef struct {
     char *data;
     size_t len;
@@ -87,7 +88,7 @@
 void buf_str(buf_t *buf, const char *text);
 void buf_fmt(buf_t *buf, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
-void buf_drop(buf_t *buf, size_t len);
+void buf_consume(buf_t *buf, size_t len);
 void buf_free(buf_t *buf);
 const char *buf_text(const buf_t *buf);
 
@@ -97,7 +98,8 @@
 int64_t time_wall_ms(void);
 void time_sleep_ms(int ms);
 
-/* A seeded generator, so that tests and loads repeat (splitmix64). */
+/* A seeded random number generator (splitmix64), so that tests and load runs
+ * are reproducible. */
 typedef struct {
     uint64_t state;
 } rng_t;
@@ -114,14 +116,14 @@
 bool utf8_is_valid(const char *data, size_t len);
 void *mem_zalloc(size_t size);
 
-/* Clean-up attributes: the owner's scope frees what it names. */
+/* Cleanup attributes: a variable is freed at the end of its scope. */
 void cleanup_json(json_t **value);
 void cleanup_text(char **text);
 void cleanup_lock(pthread_mutex_t **lock);
 #define CLEAN_JSON __attribute__((cleanup(cleanup_json)))
 #define CLEAN_TEXT __attribute__((cleanup(cleanup_text)))
 #define CLEAN_BUF __attribute__((cleanup(buf_free)))
-/* Holds a mutex to the end of the enclosing block. */
+/* Holds a mutex until the end of the enclosing block. */
 #define LOCK_SCOPE(mutex)                                                \
     pthread_mutex_t *scope_lock __attribute__((cleanup(cleanup_lock))) = \
         (pthread_mutex_lock(mutex), (mutex));                            \
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The callers' side of a chat: what a request has to be, and its end. */
+/* The caller's side of a chat: checks its request and sends the end of the
+ * answer. */
 
 #define MESSAGES_MAX 256
 #define MAX_TOKENS_MAX 100000
@@ -50,7 +51,7 @@
 }
 
 static int
-check_numbers(const json_t *body, err_t *err)
+check_options(const json_t *body, err_t *err)
 {
     const json_t *max = json_object_get(body, "max_tokens");
     const json_t *stream = json_object_get(body, "stream");
@@ -69,7 +70,7 @@
 
 /* Parse and check a body; NULL with an error that names the field. */
 json_t *
-chat_body_read(const char *text, size_t len, err_t *err)
+chat_body_parse(const char *text, size_t len, err_t *err)
 {
     json_error_t where;
     if (!utf8_is_valid(text, len)) {
@@ -85,16 +86,17 @@
         return NULL;
     }
     if (check_messages(json_object_get(body, "messages"), err) != 0 ||
-        check_numbers(body, err) != 0) {
+        check_options(body, err) != 0) {
         json_decref(body);
         return NULL;
     }
     return body;
 }
 
-/* The part of the answer that the caller's own body already holds. */
+/* Move a partial answer, which the caller sent as the final message to be
+ * continued, from the body to the answer text. */
 static void
-take_partial(chat_t *chat)
+move_partial_answer(chat_t *chat)
 {
     json_t *messages = json_object_get(chat->body, "messages");
     size_t count = json_array_size(messages);
@@ -109,7 +111,7 @@
 }
 
 static uint64_t
-ask_hash(const char *workspace, const chat_t *chat)
+hash_prompt(const char *workspace, const chat_t *chat)
 {
     CLEAN_BUF buf_t text = {0};
     prefix_render(json_object_get(chat->body, "messages"), &text);
@@ -117,61 +119,62 @@
 }
 
 static bool
-is_resume_of(const call_t *call, const resume_t *resume)
+token_matches_call(const call_t *call, const resume_t *resume)
 {
     return strcmp(resume->workspace, call->workspace) == 0 &&
-           resume->ask == call->u.chat.ask;
+           resume->prompt_hash == call->u.chat.prompt_hash;
 }
 
-/* Go on with a stream that began at this or another daemon.  A token of
- * another workspace, or of another prompt, is refused. */
+/* Resume a stream that began at this or another daemon.  A token of another
+ * workspace or of another prompt is rejected. */
 static void
-resume_call(call_t *call, const char *last_id, const config_t *config)
+resume_call(call_t *call, const char *last_event_id, const config_t *config)
 {
     chat_t *chat = &call->u.chat;
     resume_t resume;
     uint32_t offset;
     err_t err = {0};
-    if (resume_open(&resume, call->daemon->settings.secret, last_id, &offset,
-                    &err) != 0) {
+    if (resume_open(&resume, call->daemon->settings.secret, last_event_id,
+                    &offset, &err) != 0) {
         call_fail(call, 400, "bad_resume", OUTCOME_NOT_RUN, err.text);
         return;
     }
-    const backend_t *backend = config_backend(config, resume.backend);
-    if (!is_resume_of(call, &resume) || backend == NULL) {
+    const backend_t *backend = config_find_backend(config, resume.backend);
+    if (!token_matches_call(call, &resume) || backend == NULL) {
         call_fail(call, 409, "other_stream", OUTCOME_NOT_RUN,
                   "Last-Event-ID belongs to another request");
         return;
     }
     chat->emitted = offset;
     chat->resumed = true;
-    call->backend_id = view_id(call->daemon->view, backend->name);
+    call->backend_id = view_assign_id(call->daemon->view, backend->name);
     str_copy(call->backend, sizeof(call->backend), backend->name);
     str_copy(call->addr, sizeof(call->addr), backend->addr);
     str_copy(call->incarnation, sizeof(call->incarnation), resume.incarnation);
     str_copy(call->stream_id, sizeof(call->stream_id), resume.stream);
     str_copy(call->version, sizeof(call->version), resume.version);
-    str_copy(chat->token, sizeof(chat->token), last_id);
-    *strrchr(chat->token, '.') = '\0';
+    str_copy(chat->resume_token, sizeof(chat->resume_token), last_event_id);
+    *strrchr(chat->resume_token, '.') = '\0';
     event_emit(&(event_t){.kind = "resume-asked",
                           .request = call->id,
                           .workspace = call->workspace,
                           .backend = call->backend,
                           .received = call->stream_id});
-    chat_resume_leg(call);
+    chat_attempt_resume(call);
 }
 
 static void
-begin(call_t *call, const char *last_id, const config_t *config)
+resume_or_dispatch(call_t *call, const char *last_event_id,
+                   const config_t *config)
 {
-    if (last_id != NULL && call->u.chat.stream) {
+    if (last_event_id != NULL && call->u.chat.stream) {
         (void)pthread_mutex_lock(&call->lock);
-        resume_call(call, last_id, config);
+        resume_call(call, last_event_id, config);
         (void)pthread_mutex_unlock(&call->lock);
         return;
     }
-    retry_budget_earn(&call->daemon->retries);
-    dispatch_push(call);
+    retry_budget_earn(&call->daemon->retry_budget);
+    dispatch_submit(call);
 }
 
 /* Serve POST /v1/chat/completions. */
@@ -182,17 +185,17 @@
     err_t err = {0};
     size_t len;
     const char *text = http_req_body(req, &len);
-    json_t *body = chat_body_read(text, len, &err);
+    json_t *body = chat_body_parse(text, len, &err);
     if (body == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 400, "bad_request", "%s", err.text);
         return;
     }
     const char *model = json_text(body, "model");
-    if (config_model(config, model) == NULL) {
+    if (config_find_model(config, model) == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
-                              outcome_word(OUTCOME_NOT_RUN));
+                              outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(req, 404, "unknown_model",
                              "model %.64s is not declared",
                              model == NULL ? "(none)" : model);
@@ -203,14 +206,15 @@
     chat_t *chat = &call->u.chat;
     chat->body = body;
     chat->stream = json_flag(body, "stream");
-    take_partial(chat);
-    cache_salt(daemon->settings.secret, workspace->name, model, chat->salt);
-    chat->ask = ask_hash(workspace->name, chat);
+    move_partial_answer(chat);
+    cache_salt_derive(daemon->settings.secret, workspace->name, model,
+                      chat->salt);
+    chat->prompt_hash = hash_prompt(workspace->name, chat);
     prefix_compute(&chat->prefix, json_object_get(body, "messages"),
-                   chat->salt, config_model(config, model)->version);
-    call->item.cost = chat->prefix.tokens;
-    call_event(call, "received", NULL);
-    begin(call, http_req_header(req, "Last-Event-ID"), config);
+                   chat->salt, config_find_model(config, model)->version);
+    call->queue_item.cost = chat->prefix.tokens;
+    call_emit_event(call, "received", NULL);
+    resume_or_dispatch(call, http_req_header(req, "Last-Event-ID"), config);
     call_release(call);
 }
 
@@ -218,7 +222,7 @@
 finish_stream(call_t *call)
 {
     CLEAN_BUF buf_t text = {0};
-    /* Not begun yet where the caller had all tokens and missed the end. */
+    /* Not open yet if the caller resumed with all tokens but not the end. */
     http_req_stream(call->req, 200, "text/event-stream");
     buf_fmt(&text,
             "event: outcome\ndata: {\"outcome\":\"done\",\"request\":\"%s\","
@@ -229,7 +233,7 @@
 }
 
 static void
-finish_whole(call_t *call)
+finish_response(call_t *call)
 {
     const chat_t *chat = &call->u.chat;
     CLEAN_JSON json_t *body = json_pack(
@@ -241,12 +245,12 @@
         (int)chat->emitted, "prompt_tokens_details", "cached_tokens",
         (int)chat->cached_tokens);
     http_req_reply_header(call->req, OUTCOME_HEADER,
-                          outcome_word(OUTCOME_DONE));
+                          outcome_name(OUTCOME_DONE));
     http_req_reply_json(call->req, 200, body);
 }
 
-/* Upstream said that the answer is whole: tell the caller so.  The call's
- * lock is held. */
+/* Finish a call whose answer is complete: end its stream or send the whole
+ * response.  The call's lock is held. */
 void
 chat_finish(call_t *call)
 {
@@ -254,14 +258,14 @@
     if (call->phase == CALL_ENDED) {
         return;
     }
-    series_count(call->series, METRIC_PROMPT_TOKENS, chat->prompt_tokens);
-    series_count(call->series, METRIC_CACHED_TOKENS, chat->cached_tokens);
-    series_count(call->series, METRIC_OUTPUT_TOKENS, chat->emitted);
+    series_increment(call->series, METRIC_PROMPT_TOKENS, chat->prompt_tokens);
+    series_increment(call->series, METRIC_CACHED_TOKENS, chat->cached_tokens);
+    series_increment(call->series, METRIC_OUTPUT_TOKENS, chat->emitted);
     if (chat->stream) {
         finish_stream(call);
     }
     else {
-        finish_whole(call);
+        finish_response(call);
     }
-    call_ended(call, OUTCOME_DONE);
+    call_end(call, OUTCOME_DONE);
 }
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -3,37 +3,37 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The life of a call, from the request to its one final answer. */
+/* The lifecycle of a call, from the request to its only final answer. */
 
 #define DEADLINE_DEFAULT_MS 30000
 #define OUTCOME_HEADER "X-Celeryspool-Outcome"
 #define REQUEST_HEADER "X-Request-Id"
 
-/* The word for an outcome in headers, events and final stream events. */
+/* The name of an outcome in headers, events and final stream events. */
 const char *
-outcome_word(outcome_t outcome)
+outcome_name(outcome_t outcome)
 {
-    static const char *const words[] = {"done", "not_run", "unknown"};
-    return words[outcome];
+    static const char *const names[] = {"done", "not_run", "unknown"};
+    return names[outcome];
 }
 
-/* How long a caller waits, in ms; -1 for a header that is not allowed. */
+/* The caller's timeout in ms; -1 if the header is not valid. */
 long
-call_deadline_span(http_req_t *req)
+call_timeout_ms(http_req_t *req)
 {
     const char *header = http_req_header(req, "X-Deadline-Ms");
     char *end;
     if (header == NULL) {
         return DEADLINE_DEFAULT_MS;
     }
-    long span = strtol(header, &end, 10);
-    bool good = end != header && *end == '\0' && span >= 1 &&
-                span <= CALL_DEADLINE_MAX_MS;
-    return good ? span : -1;
+    long timeout_ms = strtol(header, &end, 10);
+    bool is_valid = end != header && *end == '\0' && timeout_ms >= 1 &&
+                    timeout_ms <= CALL_DEADLINE_MAX_MS;
+    return is_valid ? timeout_ms : -1;
 }
 
-/* A call for a request, listed as running.  The creator holds one share and
- * the list none; the call leaves the list when it ends. */
+/* Create a call for a request and list it as running.  The creator and the
+ * list hold one reference each; call_end takes the call off the list. */
 call_t *
 call_new(celeryspoold_t *daemon, http_req_t *req, call_kind_t kind,
          const workspace_t *workspace, const char *target)
@@ -45,18 +45,19 @@
     call->req = req;
     call->kind = kind;
     call->priority = workspace->priority;
-    call->began_us = time_mono_us();
-    call->last_us = call->began_us;
-    call->deadline_ms = time_mono_ms() + call_deadline_span(req);
+    call->received_us = time_mono_us();
+    call->last_activity_us = call->received_us;
+    call->deadline_ms = time_mono_ms() + call_timeout_ms(req);
     id_random(call->id);
     str_copy(call->workspace, sizeof(call->workspace), workspace->name);
     str_copy(call->target, sizeof(call->target), target);
-    call->series = metrics_series(daemon->metrics, workspace->name, target);
-    str_copy(call->item.workspace, sizeof(call->item.workspace),
+    call->series =
+        metrics_get_series(daemon->metrics, workspace->name, target);
+    str_copy(call->queue_item.workspace, sizeof(call->queue_item.workspace),
              workspace->name);
-    call->item.share = workspace->share;
-    call->item.deadline_ms = call->deadline_ms;
-    call->item.owner = call;
+    call->queue_item.share = workspace->share;
+    call->queue_item.deadline_ms = call->deadline_ms;
+    call->queue_item.owner = call;
     http_req_hold(req);
     http_req_reply_header(req, REQUEST_HEADER, call->id);
     LOCK_SCOPE(&daemon->calls_lock);
@@ -79,12 +80,12 @@
         case CALL_CHAT:
             json_decref(call->u.chat.body);
             buf_free(&call->u.chat.text);
-            buf_free(&call->u.chat.sse);
-            buf_free(&call->u.chat.out);
+            buf_free(&call->u.chat.sse_pending);
+            buf_free(&call->u.chat.event_out);
             break;
         case CALL_SERVICE:
             free(call->u.service.method);
-            buf_free(&call->u.service.target);
+            buf_free(&call->u.service.request_target);
             buf_free(&call->u.service.body);
             buf_free(&call->u.service.reply);
             break;
@@ -94,7 +95,7 @@
     free(call);
 }
 
-/* Give a share back; the last holder frees the call. */
+/* Drop a reference; the last one frees the call. */
 void
 call_release(call_t *call)
 {
@@ -105,7 +106,7 @@
 
 /* Write an event of this call. */
 void
-call_event(call_t *call, const char *kind, const char *detail)
+call_emit_event(call_t *call, const char *kind, const char *detail)
 {
     event_emit(&(event_t){.kind = kind,
                           .request = call->id,
@@ -114,21 +115,21 @@
                           .detail = detail});
 }
 
-/* Take the current leg out of the view. */
+/* Remove the current attempt from the view's load. */
 void
-call_uncount(call_t *call)
+call_remove_from_view(call_t *call)
 {
-    if (call->counted) {
-        call->counted = false;
-        view_ended(call->daemon->view, call->backend_id, call->started,
-                   call->uncached);
+    if (call->counted_in_view) {
+        call->counted_in_view = false;
+        view_remove_request(call->daemon->view, call->backend_id,
+                            call->first_token_received, call->uncached_tokens);
     }
 }
 
 static bool
-was_tried(const call_t *call, const char *name)
+is_tried(const call_t *call, const char *name)
 {
-    for (unsigned i = 0; i < call->tried && i < TRIED_MAX; i++) {
+    for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
         if (strcmp(call->tried_names[i], name) == 0) {
             return true;
         }
@@ -136,24 +137,24 @@
     return false;
 }
 
-/* Remember the present server as tried, so that it is avoided next. */
+/* Mark the current server as tried, so that placement avoids it. */
 void
-call_note_tried(call_t *call)
+call_mark_tried(call_t *call)
 {
-    if (call->backend[0] == '\0' || was_tried(call, call->backend)) {
+    if (call->backend[0] == '\0' || is_tried(call, call->backend)) {
         return;
     }
-    str_copy(call->tried_names[call->tried % TRIED_MAX], CS_NAME_MAX,
+    str_copy(call->tried_names[call->tried_count % TRIED_MAX], CS_NAME_MAX,
              call->backend);
-    if (call->tried < TRIED_MAX) {
-        call->tried++;
+    if (call->tried_count < TRIED_MAX) {
+        call->tried_count++;
     }
 }
 
-/* The call has its answer: count it and take it off the list.  The call's
- * lock is held; a second end is ignored, so each request is answered once. */
+/* End an answered call: count it and take it off the list.  The call's lock
+ * is held.  A second end is ignored, so each request is answered once. */
 void
-call_ended(call_t *call, outcome_t outcome)
+call_end(call_t *call, outcome_t outcome)
 {
     static const metric_counter_t counters[] = {METRIC_DONE, METRIC_NOT_RUN,
                                                 METRIC_UNKNOWN};
@@ -161,11 +162,11 @@
     if (call->phase == CALL_ENDED) {
         return;
     }
-    call_uncount(call);
+    call_remove_from_view(call);
     call->phase = CALL_ENDED;
-    call->leg++;
-    series_count(call->series, counters[outcome], 1);
-    call_event(call, "ended", outcome_word(outcome));
+    call->attempt_number++;
+    series_increment(call->series, counters[outcome], 1);
+    call_emit_event(call, "ended", outcome_name(outcome));
     (void)pthread_mutex_lock(&daemon->calls_lock);
     CK_LIST_REMOVE(call, entry);
     daemon->call_count--;
@@ -178,12 +179,12 @@
            const char *text)
 {
     return json_pack("{s:{s:s,s:s},s:s,s:s}", "error", "code", code, "message",
-                     text, "outcome", outcome_word(outcome), "request",
+                     text, "outcome", outcome_name(outcome), "request",
                      call->id);
 }
 
-/* An error within a stream: an event that names it, then a broken
- * connection, so that the caller cannot take what it has for the whole. */
+/* End a stream with an error event and then break the connection, so that
+ * the caller cannot mistake a partial answer for a complete one. */
 static void
 fail_stream(call_t *call, const json_t *body)
 {
@@ -203,8 +204,8 @@
         return;
     }
     CLEAN_JSON json_t *body = error_body(call, code, outcome, text);
-    call_event(call, "failed", text);
-    http_req_reply_header(call->req, OUTCOME_HEADER, outcome_word(outcome));
+    call_emit_event(call, "failed", text);
+    http_req_reply_header(call->req, OUTCOME_HEADER, outcome_name(outcome));
     if (call->kind == CALL_CHAT && call->u.chat.stream &&
         call->phase == CALL_STREAMING) {
         fail_stream(call, body);
@@ -212,43 +213,43 @@
     else {
         http_req_reply_json(call->req, status, body);
     }
-    call_ended(call, outcome);
+    call_end(call, outcome);
 }
 
-/* What a call that is given up on before any answer came to. */
+/* The outcome of a call that fails before any answer. */
 outcome_t
 call_outcome_so_far(const call_t *call)
 {
     return call->may_have_run ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN;
 }
 
-/* Refuse a call at once, saying when to come back.  It did not run, unless an
- * earlier leg of it may have. */
+/* Reject a call with a Retry-After header.  The call's lock is held.  The
+ * call did not run, unless an earlier attempt may have. */
 void
-call_refuse(call_t *call, int status, const char *code, int retry_after_s,
+call_reject(call_t *call, int status, const char *code, int retry_after_s,
             const char *text)
 {
     char seconds[16];
     (void)snprintf(seconds, sizeof(seconds), "%d", retry_after_s);
     http_req_reply_header(call->req, "Retry-After", seconds);
     if (call->kind == CALL_SERVICE && !call->may_have_run) {
-        service_record(call, CLAIM_OP_NOT_RUN, 0);
+        service_record_outcome(call, CLAIM_OP_NOT_RUN, 0);
     }
-    series_count(call->series, METRIC_REFUSED, 1);
+    series_increment(call->series, METRIC_REJECTED, 1);
     call_fail(call, status, code, call_outcome_so_far(call), text);
 }
 
 static const char *
-phase_word(call_phase_t phase)
+phase_name(call_phase_t phase)
 {
-    static const char *const words[] = {"queued", "sent", "streaming",
+    static const char *const names[] = {"queued", "sent", "streaming",
                                         "ended"};
-    return words[phase];
+    return names[phase];
 }
 
-/* One row a running call, for the query language. */
+/* A JSON array with one row per running call, for the query language. */
 json_t *
-calls_rows(celeryspoold_t *daemon)
+calls_to_json(celeryspoold_t *daemon)
 {
     int64_t now = time_mono_us();
     json_t *rows = json_array();
@@ -260,8 +261,8 @@
             json_pack(
                 "{s:s,s:s,s:s,s:s,s:s,s:I,s:I}", "request", call->id,
                 "workspace", call->workspace, "target", call->target, "phase",
-                phase_word(call->phase), "backend", call->backend, "age_ms",
-                (json_int_t)((now - call->began_us) / 1000), "tokens",
+                phase_name(call->phase), "backend", call->backend, "age_ms",
+                (json_int_t)((now - call->received_us) / 1000), "tokens",
                 (json_int_t)(call->kind == CALL_CHAT ? call->u.chat.emitted
                                                      : 0)));
     }
--- /dev/null
+++ b/kernel/http-listener.c
@@ -0,0 +1,536 @@
+#include "http-listener.h"
+
+#include <ck_queue.h>
+#include <errno.h>
+#include <event2/buffer.h>
+#include <event2/bufferevent.h>
+#include <event2/listener.h>
+#include <http_parser.h>
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+/* Connections waiting to be accepted.  If many callers reconnect at once and
+ * the queue overflows, their SYNs are dropped and retransmitted only after a
+ * second. */
+#define LISTEN_BACKLOG 4096
+/* Bytes buffered from a caller before reading from its socket pauses. */
+#define READ_AHEAD_MAX 262144
+/* A connection that is closed after a response keeps reading and discarding
+ * input for this long.  Closing at once could reset the connection, and the
+ * caller could lose the response. */
+#define LINGER_MS 1000
+/* A connection whose output makes no progress for this long is closed: twice
+ * the longest deadline that callers set. */
+#define WRITE_TIMEOUT_S 30
+
+typedef enum {
+    CALLER_IDLE,    /* between requests */
+    CALLER_READING, /* part of a request has been received */
+    CALLER_WAITING, /* handed over, the response is not complete */
+    CALLER_CLOSING  /* the output is written, then the connection closes */
+} caller_state_t;
+
+struct caller {
+    CK_LIST_ENTRY(caller) entry;
+    http_listener_t *listener;
+    struct bufferevent *bev;
+    http_reader_t reader;
+    buf_t body;
+    void *owner; /* of the current request, passed to the hooks */
+    caller_state_t state;
+    bool close_after;   /* close the connection after this response */
+    bool body_too_long; /* the body exceeds its limit */
+    bool in_step; /* caller_step is running and must not be entered again */
+    struct event *timer;
+};
+
+typedef CK_LIST_HEAD(caller_list, caller) caller_list_t;
+
+struct http_listener {
+    struct event_base *base;
+    struct evconnlistener *acceptor; /* NULL once it has stopped accepting */
+    http_listener_hooks_t hooks;
+    size_t connections_max;
+    caller_list_t callers;
+    size_t caller_count; /* also read by other threads */
+    bool draining;       /* each response closes its connection */
+};
+
+static void caller_step(caller_t *caller);
+
+static http_limits_t
+limits_of(const http_listener_t *listener)
+{
+    return listener->hooks.limits(listener->hooks.arg);
+}
+
+static void
+caller_free(caller_t *caller)
+{
+    http_listener_t *listener = caller->listener;
+    if (caller->owner != NULL) {
+        listener->hooks.on_disconnect(caller->owner);
+    }
+    CK_LIST_REMOVE(caller, entry);
+    __atomic_sub_fetch(&listener->caller_count, 1, __ATOMIC_RELAXED);
+    event_free(caller->timer);
+    bufferevent_free(caller->bev);
+    http_reader_free(&caller->reader);
+    buf_free(&caller->body);
+    free(caller);
+}
+
+static void
+caller_arm_timer(caller_t *caller, int64_t ms)
+{
+    struct timeval after = {ms / 1000, ms % 1000 * 1000};
+    (void)event_add(caller->timer, &after);
+}
+
+/* Times out a request that arrives too slowly (408) and closes an idle or
+ * closing connection, which would only use up a descriptor.  A connection
+ * whose output is not written yet is kept: closing it would truncate a
+ * response. */
+static void
+on_timer(evutil_socket_t fd, short what, void *arg)
+{
+    caller_t *caller = arg;
+    (void)fd;
+    (void)what;
+    if (caller->state == CALLER_READING) {
+        caller->close_after = true;
+        caller_answer(caller, 408, NULL, "", 0);
+        return;
+    }
+    if (caller_unsent_bytes(caller) > 0) {
+        int64_t idle_ms = limits_of(caller->listener).idle_ms;
+        caller_arm_timer(caller, idle_ms > 0 ? idle_ms : LINGER_MS);
+        return;
+    }
+    caller_free(caller);
+}
+
+static void
+on_body(void *arg, const char *data, size_t len)
+{
+    caller_t *caller = arg;
+    http_limits_t limits = limits_of(caller->listener);
+    if (caller->body.len + len > (size_t)limits.body_bytes) {
+        caller->body_too_long = true;
+        return;
+    }
+    buf_add(&caller->body, data, len);
+}
+
+static void
+answer_bad_request(caller_t *caller, int status, const char *reason)
+{
+    const http_listener_hooks_t *hooks = &caller->listener->hooks;
+    log_info("door", "Rejected a request with status %d: %s.", status, reason);
+    caller->close_after = true;
+    if (hooks->on_bad_request != NULL) {
+        hooks->on_bad_request(hooks->arg, caller, status, reason);
+        return;
+    }
+    caller_answer(caller, status, NULL, "", 0);
+}
+
+static void
+answer_body_too_long(caller_t *caller)
+{
+    answer_bad_request(caller, 413, "the body is longer than the limit");
+}
+
+/* Whether the Content-Length exceeds a limit, so that the request can be
+ * rejected before its body arrives. */
+static bool
+length_exceeds(const caller_t *caller, size_t max)
+{
+    uint64_t length = caller->reader.parser.content_length;
+    return length != UINT64_MAX && length > max;
+}
+
+static void
+on_head(caller_t *caller)
+{
+    const http_head_t *head = &caller->reader.head;
+    http_limits_t limits = limits_of(caller->listener);
+    caller->close_after = !head->keep_alive;
+    if (caller->reader.state == READER_BODY &&
+        length_exceeds(caller, (size_t)limits.body_bytes)) {
+        answer_body_too_long(caller);
+        return;
+    }
+    if (http_head_find(head, "Expect") != NULL) {
+        static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
+        (void)bufferevent_write(caller->bev, continue_line,
+                                sizeof(continue_line) - 1);
+    }
+}
+
+static void
+hand_over_request(caller_t *caller)
+{
+    const http_listener_hooks_t *hooks = &caller->listener->hooks;
+    caller->state = CALLER_WAITING;
+    (void)event_del(caller->timer);
+    hooks->on_request(hooks->arg, caller, &caller->reader.head, &caller->body);
+}
+
+/* Reads more of a request; false if there is nothing more to do now. */
+static bool
+read_request(caller_t *caller)
+{
+    struct evbuffer *in = bufferevent_get_input(caller->bev);
+    reader_state_t before = caller->reader.state;
+    if (before == READER_HEAD && evbuffer_get_length(in) == 0) {
+        return false;
+    }
+    if (caller->state == CALLER_IDLE) {
+        caller->state = CALLER_READING;
+        caller_arm_timer(caller, limits_of(caller->listener).head_ms);
+    }
+    reader_state_t state = http_reader_feed(&caller->reader, in);
+    if (state == READER_INVALID) {
+        answer_bad_request(caller, caller->reader.status,
+                           caller->reader.reason);
+        return false;
+    }
+    if (before == READER_HEAD && state != READER_HEAD) {
+        on_head(caller);
+    }
+    if (caller->state != CALLER_READING) {
+        return false;
+    }
+    if (caller->body_too_long) {
+        answer_body_too_long(caller);
+        return false;
+    }
+    if (state == READER_COMPLETE) {
+        hand_over_request(caller);
+        return false;
+    }
+    if (state == READER_BODY) {
+        caller_arm_timer(caller, limits_of(caller->listener).idle_ms);
+    }
+    return state == READER_BODY && evbuffer_get_length(in) > 0;
+}
+
+/* Processes the buffered input.  A response that is made within the hook lets
+ * the next request begin; this loop handles that, so there is no recursion. */
+static void
+caller_step(caller_t *caller)
+{
+    if (caller->in_step) {
+        return;
+    }
+    caller->in_step = true;
+    struct evbuffer *in = bufferevent_get_input(caller->bev);
+    while (caller->state == CALLER_IDLE || caller->state == CALLER_READING) {
+        bool more = read_request(caller);
+        bool next =
+            caller->state == CALLER_IDLE && evbuffer_get_length(in) > 0;
+        if (!more && !next) {
+            break;
+        }
+    }
+    caller->in_step = false;
+}
+
+static void
+on_read(struct bufferevent *bev, void *arg)
+{
+    caller_t *caller = arg;
+    if (caller->state == CALLER_CLOSING) {
+        struct evbuffer *in = bufferevent_get_input(bev);
+        (void)evbuffer_drain(in, evbuffer_get_length(in));
+        return;
+    }
+    caller_step(caller);
+}
+
+/* The output has been written: a closing connection shuts down its side and
+ * waits for the caller to close. */
+static void
+on_written(struct bufferevent *bev, void *arg)
+{
+    caller_t *caller = arg;
+    const http_listener_hooks_t *hooks = &caller->listener->hooks;
+    if (caller->state == CALLER_CLOSING) {
+        (void)shutdown(bufferevent_getfd(bev), SHUT_WR);
+        return;
+    }
+    if (caller->owner != NULL && hooks->on_flushed != NULL) {
+        hooks->on_flushed(caller->owner);
+    }
+}
+
+static void
+on_event(struct bufferevent *bev, short what, void *arg)
+{
+    (void)bev;
+    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0) {
+        caller_free(arg);
+    }
+}
+
+static void
+on_accept(struct evconnlistener *acceptor, evutil_socket_t fd,
+          struct sockaddr *from, int len, void *arg)
+{
+    static const struct timeval write_timeout = {WRITE_TIMEOUT_S, 0};
+    http_listener_t *listener = arg;
+    int on = 1;
+    (void)acceptor;
+    (void)from;
+    (void)len;
+    if (listener->connections_max > 0 &&
+        listener->caller_count >= listener->connections_max) {
+        log_warn("door", "Closed a new connection: %zu are open, the maximum.",
+                 listener->caller_count);
+        (void)close(fd);
+        return;
+    }
+    (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+    http_limits_t limits = limits_of(listener);
+    caller_t *caller = mem_zalloc(sizeof(*caller));
+    caller->listener = listener;
+    caller->bev =
+        bufferevent_socket_new(listener->base, fd, BEV_OPT_CLOSE_ON_FREE);
+    caller->timer = evtimer_new(listener->base, on_timer, caller);
+    http_reader_init(&caller->reader, false, (size_t)limits.head_bytes,
+                     on_body, caller);
+    bufferevent_setcb(caller->bev, on_read, on_written, on_event, caller);
+    bufferevent_setwatermark(caller->bev, EV_READ, 0, READ_AHEAD_MAX);
+    (void)bufferevent_set_timeouts(caller->bev, NULL, &write_timeout);
+    CK_LIST_INSERT_HEAD(&listener->callers, caller, entry);
+    __atomic_add_fetch(&listener->caller_count, 1, __ATOMIC_RELAXED);
+    caller_arm_timer(caller, limits.idle_ms);
+    (void)bufferevent_enable(caller->bev, EV_READ | EV_WRITE);
+}
+
+/* Opens a listening socket on a local address; returns -1 on error. */
+evutil_socket_t
+http_listen(const char *addr, err_t *err)
+{
+    struct sockaddr_in at;
+    int len = (int)sizeof(at);
+    int on = 1;
+    if (evutil_parse_sockaddr_port(addr, (struct sockaddr *)&at, &len) != 0 ||
+        at.sin_family != AF_INET) {
+        (void)err_set(err, ERR_HTTP, 1, "%s is not an IPV4:PORT address",
+                      addr);
+        return -1;
+    }
+    evutil_socket_t fd =
+        socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    if (fd >= 0) {
+        (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
+    }
+    if (fd < 0 || bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0 ||
+        listen(fd, LISTEN_BACKLOG) != 0) {
+        (void)err_set(err, ERR_HTTP, 1, "cannot listen on %s: %s", addr,
+                      strerror(errno));
+        if (fd >= 0) {
+            (void)close(fd);
+        }
+        return -1;
+    }
+    return fd;
+}
+
+/* Starts accepting connections on a listening socket. */
+http_listener_t *
+http_listener_open(struct event_base *base, const http_listener_opts_t *opts)
+{
+    http_listener_t *listener = mem_zalloc(sizeof(*listener));
+    listener->base = base;
+    listener->hooks = opts->hooks;
+    listener->connections_max = opts->connections_max;
+    CK_LIST_INIT(&listener->callers);
+    listener->acceptor = evconnlistener_new(
+        base, on_accept, listener,
+        LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, opts->fd);
+    return listener;
+}
+
+/* Closes each connection after its next response. */
+void
+http_listener_drain(http_listener_t *listener)
+{
+    listener->draining = true;
+}
+
+/* Stops accepting connections; open ones are still served.  The kernel refuses
+ * later connections, so a caller knows that its request was not executed. */
+void
+http_listener_stop_accepting(http_listener_t *listener)
+{
+    if (listener->acceptor != NULL) {
+        evconnlistener_free(listener->acceptor);
+        listener->acceptor = NULL;
+    }
+}
+
+/* Whether the connection has no request and no buffered input or output.  The
+ * end of a response may still be buffered when its connection is idle again;
+ * closing it then would truncate the response. */
+static bool
+is_idle(const caller_t *caller)
+{
+    return caller->state == CALLER_IDLE &&
+           evbuffer_get_length(bufferevent_get_input(caller->bev)) == 0 &&
+           evbuffer_get_length(bufferevent_get_output(caller->bev)) == 0;
+}
+
+/* Stops accepting connections and closes the idle ones.  Called repeatedly
+ * until all are closed. */
+void
+http_listener_close_idle(http_listener_t *listener)
+{
+    caller_t *caller;
+    caller_t *next;
+    http_listener_stop_accepting(listener);
+    CK_LIST_FOREACH_SAFE (caller, &listener->callers, entry, next) {
+        if (is_idle(caller)) {
+            caller_free(caller);
+        }
+    }
+}
+
+/* Closes all connections and frees the listener. */
+void
+http_listener_free(http_listener_t *listener)
+{
+    caller_t *caller;
+    http_listener_stop_accepting(listener);
+    while ((caller = CK_LIST_FIRST(&listener->callers)) != NULL) {
+        caller_free(caller);
+    }
+    free(listener);
+}
+
+/* The number of open connections; callable from any thread. */
+size_t
+http_listener_connections(const http_listener_t *listener)
+{
+    return __atomic_load_n(&listener->caller_count, __ATOMIC_RELAXED);
+}
+
+static void
+write_head(caller_t *caller, int status, const buf_t *headers,
+           const char *framing)
+{
+    struct evbuffer *out = bufferevent_get_output(caller->bev);
+    if (caller->listener->draining) {
+        caller->close_after = true;
+    }
+    (void)evbuffer_add_printf(out, "HTTP/1.1 %d %s\r\n", status,
+                              http_status_str((enum http_status)status));
+    if (headers != NULL) {
+        (void)evbuffer_add(out, headers->data, headers->len);
+    }
+    (void)evbuffer_add_printf(
+        out, "%s%s\r\n", caller->close_after ? "Connection: close\r\n" : "",
+        framing);
+}
+
+/* Closes the connection once its output is written. */
+static void
+caller_close(caller_t *caller)
+{
+    caller->state = CALLER_CLOSING;
+    caller_arm_timer(caller, LINGER_MS);
+    if (evbuffer_get_length(bufferevent_get_output(caller->bev)) == 0) {
+        (void)shutdown(bufferevent_getfd(caller->bev), SHUT_WR);
+    }
+}
+
+/* The response is complete: the connection goes on to the next request, or
+ * closes. */
+static void
+caller_answer_done(caller_t *caller)
+{
+    caller->owner = NULL;
+    caller->body.len = 0;
+    caller->body_too_long = false;
+    if (caller->close_after) {
+        caller_close(caller);
+        return;
+    }
+    http_reader_next(&caller->reader);
+    caller->state = CALLER_IDLE;
+    caller_arm_timer(caller, limits_of(caller->listener).idle_ms);
+    caller_step(caller);
+}
+
+/* Writes a complete response; headers are CRLF-ended lines, or NULL. */
+void
+caller_answer(caller_t *caller, int status, const buf_t *headers,
+              const char *body, size_t len)
+{
+    char framing[64];
+    bool no_body = status == 204 || status == 304 || status < 200;
+    bool head_only = caller->reader.head.method == HTTP_HEAD;
+    (void)snprintf(framing, sizeof(framing), "Content-Length: %zu\r\n", len);
+    write_head(caller, status, headers, no_body ? "" : framing);
+    if (!no_body && !head_only && len > 0) {
+        (void)bufferevent_write(caller->bev, body, len);
+    }
+    caller_answer_done(caller);
+}
+
+/* Begins a chunked response. */
+void
+caller_stream_begin(caller_t *caller, int status, const buf_t *headers)
+{
+    write_head(caller, status, headers, "Transfer-Encoding: chunked\r\n");
+}
+
+void
+caller_stream_data(caller_t *caller, const char *data, size_t len)
+{
+    struct evbuffer *out = bufferevent_get_output(caller->bev);
+    if (len == 0) {
+        return;
+    }
+    (void)evbuffer_add_printf(out, "%zx\r\n", len);
+    (void)evbuffer_add(out, data, len);
+    (void)evbuffer_add(out, "\r\n", 2);
+}
+
+void
+caller_stream_end(caller_t *caller)
+{
+    (void)bufferevent_write(caller->bev, "0\r\n\r\n", 5);
+    caller_answer_done(caller);
+}
+
+/* Ends a response that cannot be completed: closes the connection without the
+ * last chunk, so that the response does not look complete. */
+void
+caller_abort(caller_t *caller)
+{
+    caller->owner = NULL;
+    caller->close_after = true;
+    caller_close(caller);
+}
+
+/* Sets the owner of the current request, or NULL for none.  It is passed to
+ * on_disconnect and on_flushed. */
+void
+caller_set_owner(caller_t *caller, void *owner)
+{
+    caller->owner = owner;
+}
+
+/* Bytes in the output buffer that the socket has not taken yet. */
+size_t
+caller_unsent_bytes(const caller_t *caller)
+{
+    return evbuffer_get_length(bufferevent_get_output(caller->bev));
+}
--- a/kernel/metrics.c
+++ b/kernel/metrics.c
@@ -6,36 +6,37 @@
 #include <string.h>
 
 /* A series belongs to one workspace and one model or service.  Series are
- * made under the lock and live as long as the process; counting takes no
- * lock.  Past SERIES_MAX all others share one, so memory is bounded. */
+ * created under the lock and live as long as the table; counting takes no
+ * lock.  Once SERIES_MAX exist, every lookup returns the series "others", so
+ * that memory is bounded. */
 
 #define SERIES_MAX 4096
 #define BUCKET_UNIT_US 62.5
 
-static const char *const counter_names[METRIC_COUNTERS] = {
+static const char *const counter_names[METRIC_COUNTER_COUNT] = {
     "requests_done_total",    "requests_not_run_total",
     "requests_unknown_total", "requests_refused_total",
     "prompt_tokens_total",    "cached_tokens_total",
     "output_tokens_total",    "streams_resumed_total",
     "streams_moved_total"};
-static const char *const histogram_names[METRIC_HISTOGRAMS] = {
+static const char *const histogram_names[METRIC_HISTOGRAM_COUNT] = {
     "ttft_seconds", "token_gap_seconds", "overhead_seconds"};
 
 struct series {
     CK_LIST_ENTRY(series) entry;
     char workspace[CS_NAME_MAX];
     char target[CS_NAME_MAX];
-    uint64_t counters[METRIC_COUNTERS];
-    histogram_t histograms[METRIC_HISTOGRAMS];
+    uint64_t counters[METRIC_COUNTER_COUNT];
+    histogram_t histograms[METRIC_HISTOGRAM_COUNT];
 };
 
 struct metrics {
     pthread_mutex_t lock;
     size_t count;
-    CK_LIST_HEAD(all_series, series) series;
+    CK_LIST_HEAD(series_list, series) series;
 };
 
-/* An empty table. */
+/* Create an empty table. */
 metrics_t *
 metrics_new(void)
 {
@@ -56,9 +57,10 @@
     free(metrics);
 }
 
-/* The series of a workspace and target, made on first use. */
+/* The series of a workspace and target, created on first use. */
 series_t *
-metrics_series(metrics_t *metrics, const char *workspace, const char *target)
+metrics_get_series(metrics_t *metrics, const char *workspace,
+                   const char *target)
 {
     LOCK_SCOPE(&metrics->lock);
     series_t *series;
@@ -80,7 +82,7 @@
     return series;
 }
 
-/* Count a span of time. */
+/* Record a duration. */
 void
 histogram_add(histogram_t *histogram, int64_t us)
 {
@@ -99,12 +101,12 @@
 double
 histogram_quantile(const histogram_t *histogram, double quantile)
 {
-    double want = quantile * (double)histogram->count;
+    double rank = quantile * (double)histogram->count;
     double bound = BUCKET_UNIT_US;
     uint64_t seen = 0;
     for (unsigned i = 0; i < HISTOGRAM_BUCKETS; i++) {
         seen += histogram->buckets[i];
-        if (seen > 0 && (double)seen >= want) {
+        if (seen > 0 && (double)seen >= rank) {
             break;
         }
         bound *= 2;
@@ -119,13 +121,13 @@
 }
 
 void
-series_count(series_t *series, metric_counter_t which, uint64_t by)
+series_increment(series_t *series, metric_counter_t which, uint64_t increment)
 {
-    ck_pr_add_64(&series->counters[which], by);
+    ck_pr_add_64(&series->counters[which], increment);
 }
 
 static void
-text_histogram(buf_t *out, const series_t *series, metric_histogram_t which)
+write_histogram(buf_t *out, const series_t *series, metric_histogram_t which)
 {
     const histogram_t *histogram = &series->histograms[which];
     const char *name = histogram_names[which];
@@ -148,13 +150,13 @@
             (unsigned long long)histogram->count);
 }
 
-/* Write all series in the text exposition form. */
+/* Write all series in the Prometheus text exposition format. */
 void
-metrics_text(metrics_t *metrics, buf_t *out)
+metrics_write(metrics_t *metrics, buf_t *out)
 {
     LOCK_SCOPE(&metrics->lock);
     const series_t *series;
-    for (int i = 0; i < METRIC_COUNTERS; i++) {
+    for (int i = 0; i < METRIC_COUNTER_COUNT; i++) {
         buf_fmt(out, "# TYPE celeryspool_%s counter\n", counter_names[i]);
         CK_LIST_FOREACH (series, &metrics->series, entry) {
             buf_fmt(out,
@@ -163,25 +165,25 @@
                     (unsigned long long)series->counters[i]);
         }
     }
-    for (int i = 0; i < METRIC_HISTOGRAMS; i++) {
+    for (int i = 0; i < METRIC_HISTOGRAM_COUNT; i++) {
         buf_fmt(out, "# TYPE celeryspool_%s histogram\n", histogram_names[i]);
         CK_LIST_FOREACH (series, &metrics->series, entry) {
-            text_histogram(out, series, (metric_histogram_t)i);
+            write_histogram(out, series, (metric_histogram_t)i);
         }
     }
 }
 
 /* Write one gauge without labels. */
 void
-metrics_gauge(buf_t *out, const char *name, double value)
+metrics_write_gauge(buf_t *out, const char *name, double value)
 {
     buf_fmt(out, "# TYPE celeryspool_%s gauge\nceleryspool_%s %g\n", name,
             name, value);
 }
 
-/* One row a series, for the query language. */
+/* One row per series, for the query language. */
 json_t *
-metrics_rows(metrics_t *metrics)
+metrics_to_json(metrics_t *metrics)
 {
     LOCK_SCOPE(&metrics->lock);
     json_t *rows = json_array();
@@ -189,9 +191,10 @@
     CK_LIST_FOREACH (series, &metrics->series, entry) {
         const uint64_t *counters = series->counters;
         uint64_t prompt = counters[METRIC_PROMPT_TOKENS];
-        double hits = prompt == 0 ? 0
-                                  : (double)counters[METRIC_CACHED_TOKENS] /
-                                        (double)prompt;
+        double hit_rate =
+            prompt == 0
+                ? 0
+                : (double)counters[METRIC_CACHED_TOKENS] / (double)prompt;
         (void)json_array_append_new(
             rows,
             json_pack(
@@ -200,7 +203,7 @@
                 (json_int_t)counters[METRIC_DONE], "not_run",
                 (json_int_t)counters[METRIC_NOT_RUN], "unknown",
                 (json_int_t)counters[METRIC_UNKNOWN], "refused",
-                (json_int_t)counters[METRIC_REFUSED], "hit_rate", hits,
+                (json_int_t)counters[METRIC_REJECTED], "hit_rate", hit_rate,
                 "ttft_p50_ms",
                 histogram_quantile(&series->histograms[METRIC_TTFT], 0.5),
                 "ttft_p99_ms",
--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -10,7 +10,7 @@
 #define USAGE_FIELDS 3
 #define MEMBERS_FIELDS 5
 #define FACTS_FIELDS 2
-#define QUOTAS_FIELDS 4
+#define USAGES_FIELDS 4
 #define SERVER_LOAD_FIELDS 5
 #define LOADS_FIELDS 2
 
@@ -28,12 +28,12 @@
     (void)msgpack_pack_array(packer, MEMBER_FIELDS);
     pack_text(packer, member->name);
     pack_text(packer, member->dc);
-    pack_text(packer, member->peer);
-    pack_text(packer, member->http);
+    pack_text(packer, member->peer_addr);
+    pack_text(packer, member->http_addr);
     (void)msgpack_pack_uint64(packer, member->incarnation);
     (void)msgpack_pack_uint64(packer, member->version);
     (void)msgpack_pack_int(packer, (int)member->intent);
-    (void)msgpack_pack_int64(packer, member->generation);
+    (void)msgpack_pack_int64(packer, member->config_generation);
     (void)msgpack_pack_int(packer, (int)member->health);
 }
 
@@ -45,8 +45,8 @@
     pack_text(packer, fact->backend);
     if (!fact->is_load) {
         (void)msgpack_pack_uint64(packer, fact->key);
-        (void)msgpack_pack_uint64(packer, fact->tokens);
-        (void)msgpack_pack_uint64(packer, fact->part);
+        (void)msgpack_pack_uint64(packer, fact->prefix_tokens);
+        (void)msgpack_pack_uint64(packer, fact->part_tokens);
         (void)msgpack_pack_int(packer, fact->held ? 1 : 0);
         return;
     }
@@ -57,8 +57,8 @@
     (void)msgpack_pack_int(packer, fact->load.slots);
     (void)msgpack_pack_int(packer, fact->load.waiting_tokens);
     (void)msgpack_pack_int(packer, fact->load.prefill_rate);
-    (void)msgpack_pack_uint64(packer, fact->load.filled);
-    (void)msgpack_pack_int(packer, fact->load.at_server);
+    (void)msgpack_pack_uint64(packer, fact->load.unshared_tokens);
+    (void)msgpack_pack_int(packer, fact->load.total_requests);
 }
 
 static void
@@ -87,17 +87,17 @@
 }
 
 static void
-pack_quotas(msgpack_packer *packer, const peer_datagram_t *datagram)
+pack_usages(msgpack_packer *packer, const peer_datagram_t *datagram)
 {
-    (void)msgpack_pack_array(packer, QUOTAS_FIELDS);
-    (void)msgpack_pack_int(packer, PEER_QUOTAS);
+    (void)msgpack_pack_array(packer, USAGES_FIELDS);
+    (void)msgpack_pack_int(packer, PEER_USAGES);
     (void)msgpack_pack_array(packer, datagram->usage_count);
     for (size_t i = 0; i < datagram->usage_count; i++) {
         const peer_usage_t *usage = &datagram->usages[i];
         (void)msgpack_pack_array(packer, USAGE_FIELDS);
-        (void)msgpack_pack_uint64(packer, usage->workspace);
-        (void)msgpack_pack_uint64(packer, usage->spent);
-        (void)msgpack_pack_uint64(packer, usage->recent);
+        (void)msgpack_pack_uint64(packer, usage->workspace_hash);
+        (void)msgpack_pack_uint64(packer, usage->total_spent);
+        (void)msgpack_pack_uint64(packer, usage->recent_spent);
     }
     (void)msgpack_pack_uint64(packer, datagram->incarnation);
     (void)msgpack_pack_uint64(packer, datagram->sequence);
@@ -112,15 +112,15 @@
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
         (void)msgpack_pack_array(packer, SERVER_LOAD_FIELDS);
-        (void)msgpack_pack_uint64(packer, load->server);
-        (void)msgpack_pack_uint64(packer, load->unread);
+        (void)msgpack_pack_uint64(packer, load->server_hash);
+        (void)msgpack_pack_uint64(packer, load->prefill_tokens);
         (void)msgpack_pack_uint64(packer, load->running);
-        (void)msgpack_pack_uint64(packer, load->filled);
-        (void)msgpack_pack_uint64(packer, load->sent);
+        (void)msgpack_pack_uint64(packer, load->unshared_tokens);
+        (void)msgpack_pack_uint64(packer, load->sent_tokens);
     }
 }
 
-/* Encode a datagram; its length, or 0 where it would not fit. */
+/* Encodes a datagram; returns its length, or 0 if it does not fit. */
 size_t
 peer_encode(const peer_datagram_t *datagram, const unsigned char *secret,
             unsigned char out[PEER_DATAGRAM_MAX])
@@ -136,8 +136,8 @@
         case PEER_FACTS:
             pack_facts(&packer, datagram);
             break;
-        case PEER_QUOTAS:
-            pack_quotas(&packer, datagram);
+        case PEER_USAGES:
+            pack_usages(&packer, datagram);
             break;
         case PEER_LOADS:
             pack_loads(&packer, datagram);
@@ -155,7 +155,7 @@
 }
 
 static bool
-take_text(const msgpack_object *object, char *out, size_t size)
+parse_text(const msgpack_object *object, char *out, size_t size)
 {
     if (object->type != MSGPACK_OBJECT_STR || object->via.str.size >= size) {
         return false;
@@ -166,14 +166,14 @@
 }
 
 static bool
-take_unsigned(const msgpack_object *object, uint64_t *out)
+parse_unsigned(const msgpack_object *object, uint64_t *out)
 {
     *out = object->via.u64;
     return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER;
 }
 
 static bool
-take_int(const msgpack_object *object, int *out)
+parse_int(const msgpack_object *object, int *out)
 {
     *out = (int)object->via.i64;
     return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER ||
@@ -181,134 +181,141 @@
 }
 
 static bool
-take_member(const msgpack_object *object, member_t *member)
+parse_member(const msgpack_object *object, member_t *member)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     int intent;
     int health;
     uint64_t generation;
     memset(member, 0, sizeof(*member));
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         object->via.array.size != MEMBER_FIELDS ||
-        !take_text(&at[0], member->name, sizeof(member->name)) ||
-        !take_text(&at[1], member->dc, sizeof(member->dc)) ||
-        !take_text(&at[2], member->peer, sizeof(member->peer)) ||
-        !take_text(&at[3], member->http, sizeof(member->http)) ||
-        !take_unsigned(&at[4], &member->incarnation) ||
-        !take_unsigned(&at[5], &member->version) ||
-        !take_int(&at[6], &intent) || !take_unsigned(&at[7], &generation) ||
-        !take_int(&at[8], &health) || health < MEMBER_ALIVE ||
+        !parse_text(&fields[0], member->name, sizeof(member->name)) ||
+        !parse_text(&fields[1], member->dc, sizeof(member->dc)) ||
+        !parse_text(&fields[2], member->peer_addr,
+                    sizeof(member->peer_addr)) ||
+        !parse_text(&fields[3], member->http_addr,
+                    sizeof(member->http_addr)) ||
+        !parse_unsigned(&fields[4], &member->incarnation) ||
+        !parse_unsigned(&fields[5], &member->version) ||
+        !parse_int(&fields[6], &intent) ||
+        !parse_unsigned(&fields[7], &generation) ||
+        !parse_int(&fields[8], &health) || health < MEMBER_ALIVE ||
         health > MEMBER_DEAD) {
         return false;
     }
     member->health = (member_health_t)health;
     member->intent = intent == MEMBER_LEAVING ? MEMBER_LEAVING : MEMBER_LIVE;
-    member->generation = (int64_t)generation;
+    member->config_generation = (int64_t)generation;
     return true;
 }
 
 static bool
-take_fact(const msgpack_object *object, peer_fact_t *fact)
+parse_fact(const msgpack_object *object, peer_fact_t *fact)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     memset(fact, 0, sizeof(*fact));
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         (object->via.array.size != LOAD_FIELDS &&
          object->via.array.size != CACHE_FIELDS) ||
-        !take_text(&at[0], fact->backend, sizeof(fact->backend))) {
+        !parse_text(&fields[0], fact->backend, sizeof(fact->backend))) {
         return false;
     }
     fact->is_load = object->via.array.size == LOAD_FIELDS;
     if (!fact->is_load) {
-        uint64_t tokens;
-        uint64_t part;
+        uint64_t prefix_tokens;
+        uint64_t part_tokens;
         int held;
-        bool good = take_unsigned(&at[1], &fact->key) &&
-                    take_unsigned(&at[2], &tokens) &&
-                    take_unsigned(&at[3], &part) && take_int(&at[4], &held);
-        fact->tokens = good ? (uint32_t)tokens : 0;
-        fact->part = good ? (uint32_t)part : 0;
-        fact->held = good && held != 0;
-        return good;
+        bool valid = parse_unsigned(&fields[1], &fact->key) &&
+                     parse_unsigned(&fields[2], &prefix_tokens) &&
+                     parse_unsigned(&fields[3], &part_tokens) &&
+                     parse_int(&fields[4], &held);
+        fact->prefix_tokens = valid ? (uint32_t)prefix_tokens : 0;
+        fact->part_tokens = valid ? (uint32_t)part_tokens : 0;
+        fact->held = valid && held != 0;
+        return valid;
     }
     load_report_t *load = &fact->load;
-    uint64_t filled;
-    if (!take_unsigned(&at[8], &filled)) {
+    uint64_t unshared_tokens;
+    if (!parse_unsigned(&fields[8], &unshared_tokens)) {
         return false;
     }
-    load->filled = (uint32_t)filled;
-    return take_text(&at[1], load->incarnation, sizeof(load->incarnation)) &&
-           take_text(&at[2], load->version, sizeof(load->version)) &&
-           take_text(&at[3], load->loading, sizeof(load->loading)) &&
-           take_int(&at[4], &load->running) &&
-           take_int(&at[5], &load->slots) &&
-           take_int(&at[6], &load->waiting_tokens) &&
-           take_int(&at[7], &load->prefill_rate) &&
-           take_int(&at[9], &load->at_server);
+    load->unshared_tokens = (uint32_t)unshared_tokens;
+    return parse_text(&fields[1], load->incarnation,
+                      sizeof(load->incarnation)) &&
+           parse_text(&fields[2], load->version, sizeof(load->version)) &&
+           parse_text(&fields[3], load->loading, sizeof(load->loading)) &&
+           parse_int(&fields[4], &load->running) &&
+           parse_int(&fields[5], &load->slots) &&
+           parse_int(&fields[6], &load->waiting_tokens) &&
+           parse_int(&fields[7], &load->prefill_rate) &&
+           parse_int(&fields[9], &load->total_requests);
 }
 
 static bool
-take_count(const msgpack_object *object, uint32_t *out)
+parse_count(const msgpack_object *object, uint32_t *out)
 {
     uint64_t value;
-    bool good = take_unsigned(object, &value) && value <= UINT32_MAX;
-    *out = good ? (uint32_t)value : 0;
-    return good;
+    bool valid = parse_unsigned(object, &value) && value <= UINT32_MAX;
+    *out = valid ? (uint32_t)value : 0;
+    return valid;
 }
 
 static bool
-take_usage(const msgpack_object *object, peer_usage_t *usage)
+parse_usage(const msgpack_object *object, peer_usage_t *usage)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == USAGE_FIELDS &&
-           take_unsigned(&at[0], &usage->workspace) &&
-           take_count(&at[1], &usage->spent) &&
-           take_count(&at[2], &usage->recent);
+           parse_unsigned(&fields[0], &usage->workspace_hash) &&
+           parse_count(&fields[1], &usage->total_spent) &&
+           parse_count(&fields[2], &usage->recent_spent);
 }
 
 static bool
-take_server_load(const msgpack_object *object, peer_load_t *load)
+parse_server_load(const msgpack_object *object, peer_load_t *load)
 {
-    const msgpack_object *at = object->via.array.ptr;
+    const msgpack_object *fields = object->via.array.ptr;
     return object->type == MSGPACK_OBJECT_ARRAY &&
            object->via.array.size == SERVER_LOAD_FIELDS &&
-           take_count(&at[0], &load->server) &&
-           take_count(&at[1], &load->unread) &&
-           take_count(&at[2], &load->running) &&
-           take_count(&at[3], &load->filled) &&
-           take_count(&at[4], &load->sent);
+           parse_count(&fields[0], &load->server_hash) &&
+           parse_count(&fields[1], &load->prefill_tokens) &&
+           parse_count(&fields[2], &load->running) &&
+           parse_count(&fields[3], &load->unshared_tokens) &&
+           parse_count(&fields[4], &load->sent_tokens);
 }
 
-/* Decode one entry of a datagram's list. */
+/* Decodes one entry of a datagram's list. */
 static bool
-take_entry(peer_datagram_t *datagram, const msgpack_object *at, size_t i)
+parse_entry(peer_datagram_t *datagram, const msgpack_object *entry, size_t i)
 {
     switch (datagram->kind) {
         case PEER_MEMBERS:
             datagram->members.count = i + 1;
             return i < MEMBER_RECORDS_MAX &&
-                   take_member(at, &datagram->members.records[i]);
+                   parse_member(entry, &datagram->members.records[i]);
         case PEER_FACTS:
             datagram->fact_count = i + 1;
-            return i < PEER_FACTS_MAX && take_fact(at, &datagram->facts[i]);
-        case PEER_QUOTAS:
+            return i < PEER_FACTS_MAX &&
+                   parse_fact(entry, &datagram->facts[i]);
+        case PEER_USAGES:
             datagram->usage_count = i + 1;
-            return i < PEER_USAGES_MAX && take_usage(at, &datagram->usages[i]);
+            return i < PEER_USAGES_MAX &&
+                   parse_usage(entry, &datagram->usages[i]);
         case PEER_LOADS:
             datagram->load_count = i + 1;
             return i < PEER_LOADS_MAX &&
-                   take_server_load(at, &datagram->loads[i]);
+                   parse_server_load(entry, &datagram->loads[i]);
     }
     return false;
 }
 
 static int
-take_list(peer_datagram_t *datagram, const msgpack_object *list)
+parse_list(peer_datagram_t *datagram, const msgpack_object *list)
 {
     size_t count = list->via.array.size;
     for (size_t i = 0; i < count; i++) {
-        if (!take_entry(datagram, &list->via.array.ptr[i], i)) {
+        if (!parse_entry(datagram, &list->via.array.ptr[i], i)) {
             return -1;
         }
     }
@@ -326,7 +333,7 @@
         case PEER_FACTS:
             datagram->fact_count = 0;
             return;
-        case PEER_QUOTAS:
+        case PEER_USAGES:
             datagram->usage_count = 0;
             return;
         case PEER_LOADS:
@@ -336,55 +343,59 @@
 }
 
 static bool
-take_member_head(peer_datagram_t *datagram, const msgpack_object *at)
+parse_member_head(peer_datagram_t *datagram, const msgpack_object *fields)
 {
     int kind;
     member_message_t *message = &datagram->members;
-    bool good = take_int(&at[2], &kind) && kind >= MEMBER_PING &&
-                kind <= MEMBER_SYNC &&
-                take_unsigned(&at[3], &message->sequence) &&
-                take_text(&at[4], message->target, sizeof(message->target));
-    message->kind = good ? (member_message_kind_t)kind : MEMBER_SYNC;
-    return good;
+    bool valid =
+        parse_int(&fields[2], &kind) && kind >= MEMBER_PING &&
+        kind <= MEMBER_SYNC &&
+        parse_unsigned(&fields[3], &message->sequence) &&
+        parse_text(&fields[4], message->target, sizeof(message->target));
+    message->kind = valid ? (member_message_kind_t)kind : MEMBER_SYNC;
+    return valid;
 }
 
 static int
-take_root(peer_datagram_t *datagram, const msgpack_object *root)
+parse_datagram(peer_datagram_t *datagram, const msgpack_object *root)
 {
     int kind;
-    const msgpack_object *at = root->via.array.ptr;
+    const msgpack_object *fields = root->via.array.ptr;
     if (root->type != MSGPACK_OBJECT_ARRAY || root->via.array.size < 2 ||
-        !take_int(&at[0], &kind) || at[1].type != MSGPACK_OBJECT_ARRAY) {
+        !parse_int(&fields[0], &kind) ||
+        fields[1].type != MSGPACK_OBJECT_ARRAY) {
         return -1;
     }
     datagram->kind = (peer_kind_t)kind;
     clear_list(datagram);
     uint32_t size = root->via.array.size;
     bool members = kind == PEER_MEMBERS && size == MEMBERS_FIELDS &&
-                   take_member_head(datagram, at);
+                   parse_member_head(datagram, fields);
     bool facts = kind == PEER_FACTS && size == FACTS_FIELDS;
-    bool quotas = kind == PEER_QUOTAS && size == QUOTAS_FIELDS &&
-                  take_unsigned(&at[2], &datagram->incarnation) &&
-                  take_unsigned(&at[3], &datagram->sequence);
+    bool usages = kind == PEER_USAGES && size == USAGES_FIELDS &&
+                  parse_unsigned(&fields[2], &datagram->incarnation) &&
+                  parse_unsigned(&fields[3], &datagram->sequence);
     bool loads = kind == PEER_LOADS && size == LOADS_FIELDS;
-    return members || facts || quotas || loads ? take_list(datagram, &at[1])
-                                               : -1;
+    return members || facts || usages || loads
+               ? parse_list(datagram, &fields[1])
+               : -1;
 }
 
-/* Decode a datagram; -1 for one that another key made or that is malformed,
- * of which nothing is used. */
+/* Decodes a datagram; -1 if its authentication code is wrong or it is
+ * malformed, in which case the caller uses nothing of it. */
 int
 peer_decode(peer_datagram_t *datagram, const unsigned char *secret,
             const unsigned char *data, size_t len)
 {
-    unsigned char want[PEER_MAC_BYTES];
+    unsigned char expected_mac[PEER_MAC_BYTES];
     msgpack_unpacked result;
     if (len <= PEER_MAC_BYTES) {
         return -1;
     }
-    (void)crypto_generichash(want, sizeof(want), data + PEER_MAC_BYTES,
-                             len - PEER_MAC_BYTES, secret, 32);
-    if (sodium_memcmp(want, data, PEER_MAC_BYTES) != 0) {
+    (void)crypto_generichash(expected_mac, sizeof(expected_mac),
+                             data + PEER_MAC_BYTES, len - PEER_MAC_BYTES,
+                             secret, 32);
+    if (sodium_memcmp(expected_mac, data, PEER_MAC_BYTES) != 0) {
         return -1;
     }
     msgpack_unpacked_init(&result);
@@ -392,7 +403,7 @@
     if (msgpack_unpack_next(&result, (const char *)data + PEER_MAC_BYTES,
                             len - PEER_MAC_BYTES,
                             NULL) == MSGPACK_UNPACK_SUCCESS) {
-        status = take_root(datagram, &result.data);
+        status = parse_datagram(datagram, &result.data);
     }
     msgpack_unpacked_destroy(&result);
     return status;
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -9,9 +9,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Talk between daemons: datagrams for heartbeats and facts, and a framed
- * question and answer over TCP for what is larger.  A frame is four bytes of
- * length, most significant first, and a msgpack array [kind, text]. */
+/* Communication between daemons: UDP datagrams for membership and facts, and
+ * framed requests and replies over TCP for larger documents.  A frame is four
+ * bytes of length, most significant first, and a msgpack array [kind, text].
+ */
 
 #define FRAME_MAX (4 << 20)
 #define IO_TIMEOUT_MS 1000
@@ -19,14 +20,14 @@
 
 struct peer {
     celeryspoold_t *daemon;
-    int udp;
-    int tcp;
+    int udp_fd;
+    int tcp_fd;
     bool stop;
-    pthread_t receiver;
-    pthread_t listener;
-    pthread_mutex_t lock; /* over the pending facts; a leaf */
-    peer_datagram_t pending;
-    int64_t next_beat_ms;
+    pthread_t receive_thread;
+    pthread_t accept_thread;
+    pthread_mutex_t lock; /* over pending_facts; a leaf lock */
+    peer_datagram_t pending_facts;
+    int64_t next_tick_ms;
     uint64_t bytes_sent;
     uint64_t bytes_received;
 };
@@ -49,27 +50,27 @@
 static void
 set_timeouts(int fd, int ms)
 {
-    struct timeval span = {ms / 1000, (ms % 1000) * 1000};
-    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &span, sizeof(span));
-    (void)setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &span, sizeof(span));
+    struct timeval timeout = {ms / 1000, (ms % 1000) * 1000};
+    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
+    (void)setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof(timeout));
 }
 
 static int
 open_socket(const char *addr, int type)
 {
-    struct sockaddr_in at;
+    struct sockaddr_in endpoint;
     int on = 1;
     int fd = socket(AF_INET, type | SOCK_CLOEXEC, 0);
     if (fd < 0) {
         return -1;
     }
-    /* For TCP this is for restarts; for UDP it would let two daemons share an
-     * address unnoticed. */
+    /* Lets a restarted daemon listen again at once.  Not for UDP, where
+     * two daemons could then bind the same address unnoticed. */
     if (type == SOCK_STREAM) {
         (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     }
-    if (parse_addr(addr, &at) != 0 ||
-        bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
+    if (parse_addr(addr, &endpoint) != 0 ||
+        bind(fd, (struct sockaddr *)&endpoint, sizeof(endpoint)) != 0) {
         (void)close(fd);
         return -1;
     }
@@ -80,33 +81,34 @@
 static void
 send_to(peer_t *peer, const char *addr, const unsigned char *data, size_t len)
 {
-    struct sockaddr_in at;
-    if (parse_addr(addr, &at) == 0) {
-        (void)sendto(peer->udp, data, len, 0, (struct sockaddr *)&at,
-                     sizeof(at));
+    struct sockaddr_in endpoint;
+    if (parse_addr(addr, &endpoint) == 0) {
+        (void)sendto(peer->udp_fd, data, len, 0, (struct sockaddr *)&endpoint,
+                     sizeof(endpoint));
         (void)__atomic_add_fetch(&peer->bytes_sent, len, __ATOMIC_RELAXED);
     }
 }
 
-/* ---- datagrams in ---- */
+/* ---- received datagrams ---- */
 
 static void
-take_fact(celeryspoold_t *daemon, const peer_fact_t *fact)
+apply_fact(celeryspoold_t *daemon, const peer_fact_t *fact)
 {
-    uint16_t id = view_id(daemon->view, fact->backend);
+    uint16_t id = view_assign_id(daemon->view, fact->backend);
     if (fact->is_load) {
-        feed_take_load(daemon, fact->backend, &fact->load);
+        feed_apply_load(daemon, fact->backend, &fact->load);
     }
     else if (fact->held) {
-        (void)cache_map_note(daemon->cache, id, fact->key, fact->tokens);
+        (void)cache_map_add_holder(daemon->cache, id, fact->key,
+                                   fact->prefix_tokens);
     }
     else {
-        (void)cache_map_drop(daemon->cache, id, fact->key);
+        (void)cache_map_remove_holder(daemon->cache, id, fact->key);
     }
 }
 
 static void
-send_members(peer_t *peer, const member_out_t *out)
+send_members(peer_t *peer, const member_outbox_t *out)
 {
     unsigned char data[PEER_DATAGRAM_MAX];
     peer_datagram_t *datagram = mem_zalloc(sizeof(*datagram));
@@ -123,7 +125,8 @@
 }
 
 static void
-take_datagram(peer_t *peer, const peer_datagram_t *datagram, member_out_t *out)
+handle_datagram(peer_t *peer, const peer_datagram_t *datagram,
+                member_outbox_t *out)
 {
     celeryspoold_t *daemon = peer->daemon;
     switch (datagram->kind) {
@@ -134,25 +137,25 @@
             return;
         case PEER_FACTS:
             for (size_t i = 0; i < datagram->fact_count; i++) {
-                take_fact(daemon, &datagram->facts[i]);
+                apply_fact(daemon, &datagram->facts[i]);
             }
             dispatch_run(daemon);
             return;
-        case PEER_QUOTAS:
+        case PEER_USAGES:
         case PEER_LOADS:
             return;
     }
 }
 
 static void *
-receive_run(void *arg)
+receive_datagrams(void *arg)
 {
     peer_t *peer = arg;
     unsigned char data[PEER_DATAGRAM_MAX];
     peer_datagram_t *datagram = mem_zalloc(sizeof(*datagram));
-    member_out_t *out = mem_zalloc(sizeof(*out));
+    member_outbox_t *out = mem_zalloc(sizeof(*out));
     while (!__atomic_load_n(&peer->stop, __ATOMIC_ACQUIRE)) {
-        ssize_t len = recv(peer->udp, data, sizeof(data), 0);
+        ssize_t len = recv(peer->udp_fd, data, sizeof(data), 0);
         if (len <= 0) {
             continue;
         }
@@ -160,7 +163,7 @@
                                  __ATOMIC_RELAXED);
         if (peer_decode(datagram, peer->daemon->settings.secret, data,
                         (size_t)len) == 0) {
-            take_datagram(peer, datagram, out);
+            handle_datagram(peer, datagram, out);
         }
     }
     free(out);
@@ -168,19 +171,19 @@
     return NULL;
 }
 
-/* ---- questions over TCP ---- */
+/* ---- requests over TCP ---- */
 
 static int
 read_all(int fd, void *out, size_t len)
 {
-    char *at = out;
+    char *next = out;
     while (len > 0) {
-        ssize_t got = recv(fd, at, len, 0);
-        if (got <= 0) {
+        ssize_t received = recv(fd, next, len, 0);
+        if (received <= 0) {
             return -1;
         }
-        at += got;
-        len -= (size_t)got;
+        next += received;
+        len -= (size_t)received;
     }
     return 0;
 }
@@ -188,14 +191,14 @@
 static int
 write_all(int fd, const void *data, size_t len)
 {
-    const char *at = data;
+    const char *next = data;
     while (len > 0) {
-        ssize_t put = send(fd, at, len, MSG_NOSIGNAL);
-        if (put <= 0) {
+        ssize_t sent = send(fd, next, len, MSG_NOSIGNAL);
+        if (sent <= 0) {
             return -1;
         }
-        at += put;
-        len -= (size_t)put;
+        next += sent;
+        len -= (size_t)sent;
     }
     return 0;
 }
@@ -212,8 +215,8 @@
     (void)msgpack_pack_str_body(&packer, kind, strlen(kind));
     (void)msgpack_pack_str(&packer, strlen(text));
     (void)msgpack_pack_str_body(&packer, text, strlen(text));
-    uint32_t head = htonl((uint32_t)buffer.size);
-    int status = write_all(fd, &head, sizeof(head)) != 0 ||
+    uint32_t net_len = htonl((uint32_t)buffer.size);
+    int status = write_all(fd, &net_len, sizeof(net_len)) != 0 ||
                          write_all(fd, buffer.data, buffer.size) != 0
                      ? -1
                      : 0;
@@ -222,8 +225,8 @@
 }
 
 static int
-take_frame(const char *data, size_t len, char *kind, size_t kind_size,
-           buf_t *text)
+parse_frame(const char *data, size_t len, char *kind, size_t kind_size,
+            buf_t *text)
 {
     msgpack_unpacked result;
     int status = -1;
@@ -232,13 +235,13 @@
             MSGPACK_UNPACK_SUCCESS &&
         result.data.type == MSGPACK_OBJECT_ARRAY &&
         result.data.via.array.size == 2) {
-        const msgpack_object *at = result.data.via.array.ptr;
-        if (at[0].type == MSGPACK_OBJECT_STR &&
-            at[1].type == MSGPACK_OBJECT_STR &&
-            at[0].via.str.size < kind_size) {
-            memcpy(kind, at[0].via.str.ptr, at[0].via.str.size);
-            kind[at[0].via.str.size] = '\0';
-            buf_add(text, at[1].via.str.ptr, at[1].via.str.size);
+        const msgpack_object *fields = result.data.via.array.ptr;
+        if (fields[0].type == MSGPACK_OBJECT_STR &&
+            fields[1].type == MSGPACK_OBJECT_STR &&
+            fields[0].via.str.size < kind_size) {
+            memcpy(kind, fields[0].via.str.ptr, fields[0].via.str.size);
+            kind[fields[0].via.str.size] = '\0';
+            buf_add(text, fields[1].via.str.ptr, fields[1].via.str.size);
             status = 0;
         }
     }
@@ -249,11 +252,11 @@
 static int
 receive_frame(int fd, char *kind, size_t kind_size, buf_t *text)
 {
-    uint32_t head;
-    if (read_all(fd, &head, sizeof(head)) != 0) {
+    uint32_t net_len;
+    if (read_all(fd, &net_len, sizeof(net_len)) != 0) {
         return -1;
     }
-    size_t len = ntohl(head);
+    size_t len = ntohl(net_len);
     if (len == 0 || len > FRAME_MAX) {
         return -1;
     }
@@ -261,20 +264,20 @@
     if (read_all(fd, data, len) != 0) {
         return -1;
     }
-    return take_frame(data, len, kind, kind_size, text);
+    return parse_frame(data, len, kind, kind_size, text);
 }
 
-/* A question that is being answered by a worker of the pool. */
+/* A request of a peer, served by a worker of the pool. */
 typedef struct {
     celeryspoold_t *daemon;
     int fd;
-} question_t;
+} peer_request_t;
 
 static json_t *
-answer_of(celeryspoold_t *daemon, const char *kind)
+make_reply(celeryspoold_t *daemon, const char *kind)
 {
     if (strcmp(kind, "snapshot") == 0) {
-        return snapshot_make(daemon, SNAPSHOT_PEER_FACTS);
+        return snapshot_make(daemon, SNAPSHOT_PEER_FACTS_MAX);
     }
     if (strcmp(kind, "config") == 0) {
         config_t *config = daemon_config(daemon);
@@ -283,60 +286,62 @@
         return doc;
     }
     if (strcmp(kind, "requests") == 0) {
-        return calls_rows(daemon);
+        return calls_to_json(daemon);
     }
     return json_pack("{s:s}", "error", "unknown question");
 }
 
 static void
-answer(void *arg)
+serve_request(void *arg)
 {
-    question_t *question = arg;
+    peer_request_t *request = arg;
     char kind[32];
     CLEAN_BUF buf_t text = {0};
-    if (receive_frame(question->fd, kind, sizeof(kind), &text) == 0) {
-        CLEAN_JSON json_t *reply = answer_of(question->daemon, kind);
+    if (receive_frame(request->fd, kind, sizeof(kind), &text) == 0) {
+        CLEAN_JSON json_t *reply = make_reply(request->daemon, kind);
         CLEAN_TEXT char *out = json_dumps(reply, JSON_COMPACT);
-        (void)send_frame(question->fd, "answer", out == NULL ? "{}" : out);
+        (void)send_frame(request->fd, "answer", out == NULL ? "{}" : out);
     }
-    (void)close(question->fd);
-    free(question);
+    (void)close(request->fd);
+    free(request);
 }
 
 static void *
-listen_run(void *arg)
+accept_requests(void *arg)
 {
     peer_t *peer = arg;
     while (!__atomic_load_n(&peer->stop, __ATOMIC_ACQUIRE)) {
-        int fd = accept4(peer->tcp, NULL, NULL, SOCK_CLOEXEC);
+        int fd = accept4(peer->tcp_fd, NULL, NULL, SOCK_CLOEXEC);
         if (fd < 0) {
             continue;
         }
         set_timeouts(fd, IO_TIMEOUT_MS);
-        question_t *question = mem_zalloc(sizeof(*question));
-        question->daemon = peer->daemon;
-        question->fd = fd;
-        pool_submit(peer->daemon->pool, answer, question);
+        peer_request_t *request = mem_zalloc(sizeof(*request));
+        request->daemon = peer->daemon;
+        request->fd = fd;
+        pool_submit(peer->daemon->pool, serve_request, request);
     }
     return NULL;
 }
 
-/* Ask a peer: "config", "snapshot" or "requests"; NULL with an error. */
+/* Requests a document from a peer: "config", "snapshot" or "requests".
+ * Returns NULL, with an error if the peer cannot be reached. */
 json_t *
-peer_ask(const char *addr, const char *what, int timeout_ms, err_t *err)
+peer_fetch(const char *addr, const char *what, int timeout_ms, err_t *err)
 {
-    struct sockaddr_in at;
+    struct sockaddr_in endpoint;
     char kind[32];
     CLEAN_BUF buf_t text = {0};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (fd < 0 || parse_addr(addr, &at) != 0) {
-        (void)err_set(err, ERR_PEER, 0, "no socket for %s", addr);
+    if (fd < 0 || parse_addr(addr, &endpoint) != 0) {
+        (void)err_set(err, ERR_PEER, 0, "cannot open a socket for %s", addr);
         return NULL;
     }
     set_timeouts(fd, timeout_ms);
-    int failed = connect(fd, (struct sockaddr *)&at, sizeof(at)) != 0 ||
-                 send_frame(fd, what, "") != 0 ||
-                 receive_frame(fd, kind, sizeof(kind), &text) != 0;
+    int failed =
+        connect(fd, (struct sockaddr *)&endpoint, sizeof(endpoint)) != 0 ||
+        send_frame(fd, what, "") != 0 ||
+        receive_frame(fd, kind, sizeof(kind), &text) != 0;
     (void)close(fd);
     if (failed) {
         (void)err_set(err, ERR_PEER, 0, "%s does not answer", addr);
@@ -345,7 +350,7 @@
     return json_loadb(buf_text(&text), text.len, 0, NULL);
 }
 
-/* ---- datagrams out ---- */
+/* ---- sent datagrams ---- */
 
 static void
 flush_facts(peer_t *peer)
@@ -353,11 +358,11 @@
     static __thread unsigned char data[PEER_DATAGRAM_MAX];
     member_t list[DIRECT_PEERS_MAX + 1];
     (void)pthread_mutex_lock(&peer->lock);
-    size_t len =
-        peer->pending.fact_count == 0
-            ? 0
-            : peer_encode(&peer->pending, peer->daemon->settings.secret, data);
-    peer->pending.fact_count = 0;
+    size_t len = peer->pending_facts.fact_count == 0
+                     ? 0
+                     : peer_encode(&peer->pending_facts,
+                                   peer->daemon->settings.secret, data);
+    peer->pending_facts.fact_count = 0;
     (void)pthread_mutex_unlock(&peer->lock);
     if (len == 0) {
         return;
@@ -366,7 +371,7 @@
         members_list(peer->daemon->members, list, DIRECT_PEERS_MAX + 1);
     for (size_t i = 1; i < count; i++) {
         if (list[i].health != MEMBER_DEAD) {
-            send_to(peer, list[i].peer, data, len);
+            send_to(peer, list[i].peer_addr, data, len);
         }
     }
 }
@@ -378,41 +383,42 @@
         return;
     }
     (void)pthread_mutex_lock(&peer->lock);
-    bool full = peer->pending.fact_count == PEER_FACTS_MAX;
+    bool full = peer->pending_facts.fact_count == PEER_FACTS_MAX;
     if (!full) {
-        peer->pending.kind = PEER_FACTS;
-        peer->pending.facts[peer->pending.fact_count++] = *fact;
+        peer->pending_facts.kind = PEER_FACTS;
+        peer->pending_facts.facts[peer->pending_facts.fact_count++] = *fact;
     }
     (void)pthread_mutex_unlock(&peer->lock);
     if (full) {
-        flush_facts(peer); /* this fact is lost, as datagrams may be */
+        flush_facts(peer); /* the fact is dropped; datagrams may be lost too */
     }
 }
 
-/* Pass a load report on with the next datagram. */
+/* Queues a load report for the next datagram to the peers. */
 void
-peer_tell_load(peer_t *peer, const char *backend, const load_report_t *report)
+peer_announce_load(peer_t *peer, const char *backend,
+                   const load_report_t *report)
 {
     peer_fact_t fact = {.is_load = true, .load = *report};
     str_copy(fact.backend, sizeof(fact.backend), backend);
     add_fact(peer, &fact);
 }
 
-/* Pass on that a server holds a level, or no longer does. */
+/* Queues that a server holds a level in its cache, or no longer does. */
 void
-peer_tell_cached(peer_t *peer, const char *backend, uint64_t key,
-                 uint32_t tokens, bool held)
+peer_announce_cached(peer_t *peer, const char *backend, uint64_t key,
+                     uint32_t tokens, bool held)
 {
-    peer_fact_t fact = {.key = key, .tokens = tokens, .held = held};
+    peer_fact_t fact = {.key = key, .prefix_tokens = tokens, .held = held};
     str_copy(fact.backend, sizeof(fact.backend), backend);
     add_fact(peer, &fact);
 }
 
 static void
-beat(peer_t *peer)
+membership_tick(peer_t *peer)
 {
     celeryspoold_t *daemon = peer->daemon;
-    member_out_t *out = mem_zalloc(sizeof(*out));
+    member_outbox_t *out = mem_zalloc(sizeof(*out));
     config_t *config = daemon_config(daemon);
     members_tick(
         daemon->members, time_mono_ms(), config->generation,
@@ -423,55 +429,57 @@
     free(out);
 }
 
-/* Send what waits; called every few milliseconds by the ticker. */
+/* Sends the queued facts and, when due, runs a membership tick; called every
+ * few milliseconds. */
 void
 peer_tick(peer_t *peer)
 {
     int64_t now = time_mono_ms();
     flush_facts(peer);
-    if (now >= peer->next_beat_ms) {
-        peer->next_beat_ms = now + members_interval_ms();
-        beat(peer);
+    if (now >= peer->next_tick_ms) {
+        peer->next_tick_ms = now + members_tick_interval_ms();
+        membership_tick(peer);
     }
 }
 
-/* Open both sockets and start their threads. */
+/* Opens both sockets and starts their threads. */
 peer_t *
 peer_start(celeryspoold_t *daemon, err_t *err)
 {
     peer_t *peer = mem_zalloc(sizeof(*peer));
     peer->daemon = daemon;
     (void)pthread_mutex_init(&peer->lock, NULL);
-    peer->udp = open_socket(daemon->settings.peer, SOCK_DGRAM);
-    peer->tcp = open_socket(daemon->settings.peer, SOCK_STREAM);
-    if (peer->udp < 0 || peer->tcp < 0 || listen(peer->tcp, 64) != 0) {
+    peer->udp_fd = open_socket(daemon->settings.peer_addr, SOCK_DGRAM);
+    peer->tcp_fd = open_socket(daemon->settings.peer_addr, SOCK_STREAM);
+    if (peer->udp_fd < 0 || peer->tcp_fd < 0 ||
+        listen(peer->tcp_fd, 64) != 0) {
         (void)err_set(err, ERR_PEER, 0, "cannot listen on %s",
-                      daemon->settings.peer);
+                      daemon->settings.peer_addr);
         free(peer);
         return NULL;
     }
-    (void)pthread_create(&peer->receiver, NULL, receive_run, peer);
-    (void)pthread_create(&peer->listener, NULL, listen_run, peer);
+    (void)pthread_create(&peer->receive_thread, NULL, receive_datagrams, peer);
+    (void)pthread_create(&peer->accept_thread, NULL, accept_requests, peer);
     return peer;
 }
 
-/* Bytes of datagrams so far. */
+/* Bytes of datagrams sent and received since the start. */
 void
-peer_bytes(const peer_t *peer, uint64_t *sent, uint64_t *received)
+peer_byte_counts(const peer_t *peer, uint64_t *sent, uint64_t *received)
 {
     *sent = __atomic_load_n(&peer->bytes_sent, __ATOMIC_RELAXED);
     *received = __atomic_load_n(&peer->bytes_received, __ATOMIC_RELAXED);
 }
 
-/* Stop the threads and close the sockets. */
+/* Stops the threads and closes the sockets. */
 void
 peer_stop(peer_t *peer)
 {
     __atomic_store_n(&peer->stop, true, __ATOMIC_RELEASE);
-    (void)pthread_join(peer->receiver, NULL);
-    (void)pthread_join(peer->listener, NULL);
-    (void)close(peer->udp);
-    (void)close(peer->tcp);
+    (void)pthread_join(peer->receive_thread, NULL);
+    (void)pthread_join(peer->accept_thread, NULL);
+    (void)close(peer->udp_fd);
+    (void)close(peer->tcp_fd);
     (void)pthread_mutex_destroy(&peer->lock);
     free(peer);
 }
--- a/kernel/prefix.h
+++ b/kernel/prefix.h
@@ -1,7 +1,8 @@
 #ifndef CELERYSPOOL_PREFIX_H
 #define CELERYSPOOL_PREFIX_H
 
-/* Prompt prefixes: how a chat becomes blocks and level keys. */
+/* Prompt prefixes: a chat is split into blocks of tokens, and the end of each
+ * message is a level with a key. */
 
 #include "base.h"
 
@@ -10,8 +11,8 @@
 #define PREFIX_BLOCK_BYTES (PREFIX_TOKEN_BYTES * PREFIX_BLOCK_TOKENS)
 #define PREFIX_LEVELS_MAX 8
 
-/* The key of the last whole block of a level, and how many tokens of the
- * prompt it covers. */
+/* The key of the last whole block of a level, and the number of prompt tokens
+ * up to the end of that block. */
 typedef struct {
     uint64_t key;
     uint32_t tokens;
@@ -23,11 +24,11 @@
     uint32_t tokens; /* of the whole prompt */
 } prefix_t;
 
-uint64_t prefix_root(const char *salt, const char *version);
-uint64_t prefix_chain(uint64_t parent, const char *block);
+uint64_t prefix_root_key(const char *salt, const char *version);
+uint64_t prefix_block_key(uint64_t parent, const char *block);
 void prefix_render(const json_t *messages, buf_t *text);
 void prefix_compute(prefix_t *prefix, const json_t *messages, const char *salt,
                     const char *version);
-uint32_t prefix_shared(const prefix_t *a, const prefix_t *b);
+uint32_t prefix_shared_tokens(const prefix_t *a, const prefix_t *b);
 
 #endif
--- a/kernel/settings.h
+++ b/kernel/settings.h
@@ -1,15 +1,16 @@
 #ifndef CELERYSPOOL_SETTINGS_H
 #define CELERYSPOOL_SETTINGS_H
 
-/* What only one host needs to know, read from an INI file. */
+/* The settings of one daemon, read from an INI file. */
 
 #include "base.h"
 
-#define SETTINGS_PEERS_MAX 16
+#define SETTINGS_SEEDS_MAX 16
 #define SECRET_BYTES 32
 
-/* What a daemon is: the product's own interface, or the router on the users'
- * platform.  Some settings belong to one of them. */
+/* What a daemon runs as: MODE_CHAT serves the product's own interface,
+ * MODE_RELAY is the router on the users' platform.  Some settings apply to
+ * one mode only. */
 typedef enum { MODE_CHAT = 1, MODE_RELAY = 2 } daemon_mode_t;
 #define MODE_BOTH (MODE_CHAT | MODE_RELAY)
 
@@ -17,42 +18,42 @@
     char name[CS_NAME_MAX];
     char dc[CS_NAME_MAX];
     int mode;
-    int objective;
-    char ready[CS_ADDR_MAX];
-    char metrics[CS_ADDR_MAX];
-    double stop_s;
+    int objective; /* 0: tail latency, 1: cache hits */
+    char ready_addr[CS_ADDR_MAX];
+    char metrics_addr[CS_ADDR_MAX];
+    double stop_timeout_s;
     double lease_ms;
-    double weights_ms;
+    double old_weights_max_ms;
     double retry_ratio;
     double retry_slack;
     double retry_window_s;
     double quota_window_s;
     double quota_overage;
     double quota_slack;
-    int hosts;
+    int hosts_min;
     int log_level;
     char event_log[256];
-    char http[CS_ADDR_MAX];
-    char peer[CS_ADDR_MAX];
-    char store[CS_ADDR_MAX];
-    char seeds[SETTINGS_PEERS_MAX][CS_ADDR_MAX];
+    char http_addr[CS_ADDR_MAX];
+    char peer_addr[CS_ADDR_MAX];
+    char store_addr[CS_ADDR_MAX];
+    char seeds[SETTINGS_SEEDS_MAX][CS_ADDR_MAX];
     unsigned seed_count;
     unsigned char secret[SECRET_BYTES];
     char operator_key[CS_NAME_MAX * 2];
     int http_threads;
     int relay_threads;
-    int connections;
-    int body_kib;
-    int idle_seconds;
-    int grace_ms;
-    int silence_ms;
+    int connections_max;
+    int body_max_kib;
+    int idle_timeout_s;
+    int shutdown_grace_ms;
+    int stream_silence_max_ms;
     int store_timeout_ms;
 } settings_t;
 
-/* All that is wrong with a file, a line each: "file:line: what". */
+/* Both report every problem of a file, one per line: "file:line: problem". */
 int settings_read(settings_t *settings, const char *path, buf_t *problems);
-int settings_read_text(settings_t *settings, const char *name,
-                       const char *text, buf_t *problems);
-void settings_describe(FILE *out);
+int settings_parse(settings_t *settings, const char *name, const char *text,
+                   buf_t *problems);
+void settings_print_help(FILE *out);
 
 #endif
--- a/kernel/store.h
+++ b/kernel/store.h
@@ -1,7 +1,8 @@
 #ifndef CELERYSPOOL_STORE_H
 #define CELERYSPOOL_STORE_H
 
-/* The platform's object API: versions, conditional update, watch. */
+/* A client of the platform's object API: versioned objects, conditional
+ * update, watch. */
 
 #define STORE_VALUE_MAX (1 << 20) /* bytes of one object */
 
@@ -9,27 +10,28 @@
 
 typedef enum {
     STORE_OK,
-    STORE_ABSENT,   /* no such object, or a watch that ran out */
-    STORE_CONFLICT, /* the version is not the one that was named */
-    STORE_REFUSED,  /* surely no effect: unreachable, or over the rate */
-    STORE_LOST      /* the effect is not known: cut, timeout, server error */
+    STORE_ABSENT,   /* no such object, or a watch that timed out */
+    STORE_CONFLICT, /* the object has another version than expected */
+    STORE_REFUSED,  /* no effect: unreachable, invalid, or rate limited */
+    STORE_LOST      /* effect unknown: broken off, timeout, server error */
 } store_result_t;
 
 typedef struct {
     store_result_t result;
     int64_t version;
-    json_t *value; /* of a read; the receiver borrows it */
+    json_t *value; /* of a read; borrowed, released after the callback */
 } store_reply_t;
 
-typedef void (*store_done_t)(void *arg, const store_reply_t *reply);
+typedef void (*store_callback_t)(void *arg, const store_reply_t *reply);
 
 typedef struct store store_t;
 
 store_t *store_new(http_client_t *client, const char *addr, int timeout_ms);
 void store_free(store_t *store);
-void store_get(store_t *store, const char *name, store_done_t done, void *arg);
+void store_get(store_t *store, const char *name, store_callback_t done,
+               void *arg);
 void store_put(store_t *store, const char *name, int64_t version,
-               const json_t *value, store_done_t done, void *arg);
+               const json_t *value, store_callback_t done, void *arg);
 /* These block the calling thread. */
 store_result_t store_get_wait(store_t *store, const char *name,
                               int64_t *version, json_t **value);
@@ -39,8 +41,8 @@
 store_result_t store_put_wait(store_t *store, const char *name,
                               int64_t expected, const json_t *value,
                               int64_t *version);
-json_t *store_hosts_wait(store_t *store);
-const char *store_result_word(store_result_t result);
-uint64_t store_calls(const store_t *store);
+json_t *store_list_hosts_wait(store_t *store);
+const char *store_result_name(store_result_t result);
+uint64_t store_call_count(const store_t *store);
 
 #endif
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -13,24 +13,25 @@
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
         backend_state_t state = {0};
-        (void)view_get(daemon->view, view_id(daemon->view, backend->name),
-                       &state);
-        const char *open =
-            open_word(config_backend_open(config, backend, time_wall_ms()));
+        (void)view_get(daemon->view,
+                       view_assign_id(daemon->view, backend->name), &state);
+        const char *availability = availability_name(
+            config_backend_availability(config, backend, time_wall_ms()));
         const char *health =
             state.host_leaving                                  ? "leaving"
-            : now < state.broken_until                          ? "broken"
-            : state.failures > 0                                ? "failing"
+            : now < state.circuit_open_until_ms                 ? "broken"
+            : state.consecutive_failures > 0                    ? "failing"
             : backend->kind != BACKEND_ENGINE || state.reported ? "good"
                                                                 : "unheard";
         (void)json_array_append_new(
-            rows, json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:f,s:f,s:s}",
-                            "name", backend->name, "serves", backend->serves,
-                            "dc", backend->dc, "open", open, "health", health,
-                            "version", state.load.version, "running",
-                            state.load.running, "ours", state.own_running,
-                            "wait_ms", view_wait_ms(&state), "slowness",
-                            state.slowness, "addr", backend->addr));
+            rows,
+            json_pack("{s:s,s:s,s:s,s:s,s:s,s:s,s:i,s:i,s:f,s:f,s:s}", "name",
+                      backend->name, "serves", backend->serves, "dc",
+                      backend->dc, "open", availability, "health", health,
+                      "version", state.load.version, "running",
+                      state.load.running, "ours", state.own_running, "wait_ms",
+                      view_expected_wait_ms(&state), "slowness",
+                      state.slowness, "addr", backend->addr));
     }
     config_release(config);
     return rows;
@@ -104,20 +105,20 @@
             json_pack("{s:s,s:s,s:s,s:s,s:I,s:s}", "name", list[i].name, "dc",
                       list[i].dc, "health", health[list[i].health], "intent",
                       list[i].intent == MEMBER_LEAVING ? "leaving" : "live",
-                      "generation", (json_int_t)list[i].generation, "http",
-                      list[i].http));
+                      "generation", (json_int_t)list[i].config_generation,
+                      "http", list[i].http_addr));
     }
     return rows;
 }
 
-#define CACHE_ROWS 1000
+#define CACHE_ROWS_MAX 1000
 
 static json_t *
 show_cached(celeryspoold_t *daemon)
 {
-    cache_fact_t facts[CACHE_ROWS];
+    cache_fact_t facts[CACHE_ROWS_MAX];
     json_t *rows = json_array();
-    size_t count = cache_map_hottest(daemon->cache, facts, CACHE_ROWS);
+    size_t count = cache_map_list_reused(daemon->cache, facts, CACHE_ROWS_MAX);
     for (size_t i = 0; i < count; i++) {
         char key[20];
         backend_state_t state = {0};
@@ -134,7 +135,7 @@
 static json_t *
 show_traffic(celeryspoold_t *daemon)
 {
-    return metrics_rows(daemon->metrics);
+    return metrics_to_json(daemon->metrics);
 }
 
 static json_t *
@@ -154,36 +155,37 @@
 typedef struct {
     const char *topic;
     json_t *(*rows)(celeryspoold_t *daemon);
-} topic_t;
+} show_topic_t;
 
-static const topic_t topics[] = {
+static const show_topic_t topics[] = {
     {"backends", show_backends}, {"cached", show_cached},
     {"changes", show_changes},   {"members", show_members},
     {"models", show_models},     {"operators", show_operators},
-    {"policies", show_policies}, {"requests", calls_rows},
+    {"policies", show_policies}, {"requests", calls_to_json},
     {"services", show_services}, {"traffic", show_traffic},
     {"windows", show_windows},   {"workspaces", show_workspaces},
 };
 
 static int
-run(command_ask_t *ask)
+run(command_context_t *context)
 {
     CLEAN_BUF buf_t list = {0};
     for (size_t i = 0; i < sizeof(topics) / sizeof(topics[0]); i++) {
-        if (ask->count > 1 && strcmp(topics[i].topic, ask->words[1]) == 0) {
-            json_t *rows = topics[i].rows(ask->daemon);
-            return query_apply(ask, 2, &rows);
+        if (context->word_count > 1 &&
+            strcmp(topics[i].topic, context->words[1]) == 0) {
+            json_t *rows = topics[i].rows(context->daemon);
+            return command_query_apply(context, 2, &rows);
         }
         buf_fmt(&list, "%s%s", i > 0 ? ", " : "", topics[i].topic);
     }
-    return command_error(ask, ask->count > 1 ? 1 : 0,
+    return command_error(context, context->word_count > 1 ? 1 : 0,
                          "show needs a topic; allowed: %s", buf_text(&list));
 }
 
 static command_t command = {
     .name = "show",
     .usage = "show TOPIC [where FIELD=VALUE …] [sort [-]FIELD] [limit N]",
-    .about = "lists what is running, cached, draining or declared",
+    .about = "lists running requests, cached prefixes and declared objects",
     .run = run};
 
 __attribute__((constructor)) static void
--- a/relay/cache-events.c
+++ b/relay/cache-events.c
@@ -18,7 +18,7 @@
         .key = key, .prompt_tokens = event->tokens, .tokens = event->tokens};
     bool present = event->added && event->tokens > 0;
     relay->meter.cache_events++;
-    if (!cache_map_knows(relay->cache_map, key)) {
+    if (!cache_map_has_key(relay->cache_map, key)) {
         if (present) {
             cached_parts_use(unrequested, &part);
         }
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -95,7 +95,7 @@
     if (listing) {
         cached_parts_clear(follow->unrequested);
     }
-    if (!result->whole || result->status != 200) {
+    if (!result->complete || result->status != 200) {
         return false;
     }
     int status =
@@ -142,12 +142,12 @@
 start_call(follow_t *follow)
 {
     CLEAN_BUF buf_t head = {0};
-    fetch_ask_t params = {.addr = follow->addr,
-                          .call = &head,
-                          .connect_ms = CONNECT_TIMEOUT_MS,
-                          .total_ms = LIST_TIMEOUT_MS,
-                          .on_done = on_done,
-                          .arg = follow};
+    fetch_options_t params = {.addr = follow->addr,
+                              .request = &head,
+                              .connect_ms = CONNECT_TIMEOUT_MS,
+                              .total_ms = LIST_TIMEOUT_MS,
+                              .on_done = on_done,
+                              .arg = follow};
     if (follow->listed) {
         platform_cache_events_call(&head, follow->addr, follow->place.next,
                                    EVENTS_WAIT_MS);
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -173,8 +173,8 @@
     uint16_t numbers[SOURCES_MAX];
     uint16_t best = 0;
     bool found = false;
-    size_t count = cache_map_holders(relay->cache_map, level->key, 0, numbers,
-                                     SOURCES_MAX);
+    size_t count = cache_map_list_holders(relay->cache_map, level->key, 0,
+                                          numbers, SOURCES_MAX);
     for (size_t i = 0; i < count; i++) {
         cache_source_t source = {.tokens = level->tokens};
         if (holder_has_levels(relay, numbers[i], prefix, from, last) &&
@@ -212,8 +212,8 @@
         pending.levels[i] = prefix->levels[i];
         pending.levels[i].key = pending_key(prefix->levels[i].key);
     }
-    return cache_map_cached_since(relay->cache_map, &pending, server->number,
-                                  now - PENDING_MS);
+    return cache_map_cached_tokens_since(relay->cache_map, &pending,
+                                         server->number, now - PENDING_MS);
 }
 
 /* Returns whether a server holds all shared parts of a prompt, as far as is
@@ -305,8 +305,8 @@
     for (unsigned i = shared_levels(prefix); i > 0 && held != NULL; i--) {
         const cached_part_t part = part_of(prefix, i - 1);
         cached_parts_use(held, &part);
-        if (cache_map_note_at(relay->cache_map, number, part.key,
-                              part.prompt_tokens, now)) {
+        if (cache_map_add_holder_at(relay->cache_map, number, part.key,
+                                    part.prompt_tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
                                true);
         }
@@ -338,8 +338,9 @@
         return;
     }
     cached_parts_use(held, part);
-    (void)cache_map_note_at(relay->cache_map, (uint16_t)number, part->key,
-                            part->prompt_tokens, time_mono_ms());
+    (void)cache_map_add_holder_at(relay->cache_map, (uint16_t)number,
+                                  part->key, part->prompt_tokens,
+                                  time_mono_ms());
     relay->meter.cache_appeared++;
     relay->notify_part(relay->peers, holder, part, true);
 }
@@ -356,7 +357,7 @@
         return false;
     }
     cached_parts_remove(held, key);
-    (void)cache_map_drop(relay->cache_map, (uint16_t)number, key);
+    (void)cache_map_remove_holder(relay->cache_map, (uint16_t)number, key);
     return true;
 }
 
@@ -373,8 +374,8 @@
     uint16_t number = server != NULL ? server->number
                                      : (uint16_t)(KV_STORE_NUMBER_MIN + store);
     int64_t now = time_mono_ms();
-    (void)cache_map_note_at(relay->cache_map, number, part->key,
-                            part->prompt_tokens, now);
+    (void)cache_map_add_holder_at(relay->cache_map, number, part->key,
+                                  part->prompt_tokens, now);
     if (part->tokens == 0) {
         cache_follower_part_requested(relay->cache_follower,
                                       pending_key(part->key));
@@ -392,7 +393,7 @@
 void
 cache_clear(relay_t *relay, const server_t *server)
 {
-    cache_map_forget(relay->cache_map, server->number);
+    cache_map_clear_backend(relay->cache_map, server->number);
     cached_parts_clear(server->held);
 }
 
@@ -433,8 +434,8 @@
         const cached_part_t part = {.key = pending_key(level->key),
                                     .prompt_tokens = level->tokens};
         cache_follower_part_requested(relay->cache_follower, level->key);
-        if (cache_map_note_at(relay->cache_map, number, part.key,
-                              level->tokens, now)) {
+        if (cache_map_add_holder_at(relay->cache_map, number, part.key,
+                                    level->tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
                                true);
         }
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -121,7 +121,7 @@
                server->info.id, server->info.service, why);
     server->removed = true;
     cache_clear(relay, server);
-    exchanges_drop(relay->exchanges, server->info.addr);
+    exchanges_close_idle(relay->exchanges, server->info.addr);
 }
 
 /* Whether entries may be missing only because the store is or was unreachable.
@@ -300,7 +300,7 @@
 void
 discovery_start(relay_t *relay)
 {
-    const char *store = relay->settings.store;
+    const char *store = relay->settings.store_addr;
     const watch_hooks_t shared = {.find_peer = find_peer_daemon,
                                   .find_upstream = find_upstream_daemon,
                                   .on_upstream_lost = on_upstream_lost,
--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -16,22 +16,22 @@
 #define INTERNAL_HEAD_TIMEOUT_MS 3000
 #define INTERNAL_IDLE_TIMEOUT_MS 30000
 
-static edge_limits_t
+static http_limits_t
 caller_limits(void *arg)
 {
     const relay_t *relay = arg;
     if (relay->config != NULL) {
         return relay->config->limits;
     }
-    return (edge_limits_t){HEAD_BYTES_DEFAULT, BODY_BYTES_DEFAULT,
+    return (http_limits_t){HEAD_BYTES_DEFAULT, BODY_BYTES_DEFAULT,
                            HEAD_TIMEOUT_MS_DEFAULT, IDLE_TIMEOUT_MS_DEFAULT};
 }
 
-static edge_limits_t
+static http_limits_t
 internal_limits(void *arg)
 {
     (void)arg;
-    return (edge_limits_t){INTERNAL_HEAD_BYTES_MAX, 0,
+    return (http_limits_t){INTERNAL_HEAD_BYTES_MAX, 0,
                            INTERNAL_HEAD_TIMEOUT_MS, INTERNAL_IDLE_TIMEOUT_MS};
 }
 
@@ -86,34 +86,37 @@
     caller_answer(caller, 200, &headers, buf_text(&text), text.len);
 }
 
-static http_door_t *
-open_listener(relay_t *relay, const char *addr, const door_hooks_t *hooks,
-              err_t *err)
+static http_listener_t *
+open_listener(relay_t *relay, const char *addr,
+              const http_listener_hooks_t *hooks, err_t *err)
 {
-    door_ask_t ask = {.fd = http_listen(addr, err), .hooks = *hooks};
+    http_listener_opts_t ask = {.fd = http_listen(addr, err), .hooks = *hooks};
     ask.hooks.arg = relay;
-    return ask.fd < 0 ? NULL : http_door_open(relay->base, &ask);
+    return ask.fd < 0 ? NULL : http_listener_open(relay->base, &ask);
 }
 
 /* Opens the listeners for callers, readiness checks and metrics. */
 int
 listeners_open(relay_t *relay, err_t *err)
 {
-    static const door_hooks_t callers = {.limits = caller_limits,
-                                         .on_request = on_caller_request,
-                                         .on_left = on_caller_disconnected};
-    static const door_hooks_t ready = {.limits = internal_limits,
-                                       .on_request = on_ready_request,
-                                       .on_left = on_ready_disconnected};
-    static const door_hooks_t metrics = {.limits = internal_limits,
-                                         .on_request = on_metrics_request,
-                                         .on_left = object_cache_caller_left};
+    static const http_listener_hooks_t callers = {
+        .limits = caller_limits,
+        .on_request = on_caller_request,
+        .on_disconnect = on_caller_disconnected};
+    static const http_listener_hooks_t ready = {
+        .limits = internal_limits,
+        .on_request = on_ready_request,
+        .on_disconnect = on_ready_disconnected};
+    static const http_listener_hooks_t metrics = {
+        .limits = internal_limits,
+        .on_request = on_metrics_request,
+        .on_disconnect = object_cache_caller_left};
     relay->ready_listener =
-        open_listener(relay, relay->settings.ready, &ready, err);
+        open_listener(relay, relay->settings.ready_addr, &ready, err);
     relay->metrics_listener =
-        open_listener(relay, relay->settings.metrics, &metrics, err);
+        open_listener(relay, relay->settings.metrics_addr, &metrics, err);
     relay->caller_listener =
-        open_listener(relay, relay->settings.http, &callers, err);
+        open_listener(relay, relay->settings.http_addr, &callers, err);
     return relay->caller_listener != NULL && relay->ready_listener != NULL &&
                    relay->metrics_listener != NULL
                ? 0
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -239,7 +239,7 @@
     if (status == 0) {
         return;
     }
-    caller_serves(caller, NULL);
+    caller_set_owner(caller, NULL);
     waiter_free(waiter);
     send_answer(caller, status, page);
 }
@@ -279,7 +279,7 @@
     waiter->timer = evtimer_new(cache->relay->base, on_wait_timeout, waiter);
     (void)event_add(waiter->timer, &wait);
     CK_LIST_INSERT_HEAD(&cache->waiters, waiter, entry);
-    caller_serves(caller, waiter);
+    caller_set_owner(caller, waiter);
 }
 
 /* Answers another daemon's request for objects, as the store would; false if
--- a/relay/peer-discovery.c
+++ b/relay/peer-discovery.c
@@ -19,7 +19,7 @@
     }
     for (size_t i = 0; i < page.count; i++) {
         if (platform_peer_read(&page.objects[i], addr, sizeof(addr)) == 0) {
-            members_seed(discovery->members, addr);
+            members_add_seed(discovery->members, addr);
             discovery->on_listed(discovery->arg, addr);
         }
     }
@@ -36,7 +36,7 @@
     int64_t now = time_mono_ms();
     discovery->fetch = NULL;
     discovery->next_ms = now + RETRY_DELAY_MS;
-    if (!result->whole) {
+    if (!result->complete) {
         return;
     }
     switch (discovery->step) {
@@ -69,27 +69,27 @@
 {
     const settings_t *settings = discovery->settings;
     CLEAN_BUF buf_t head = {0};
-    CLEAN_JSON json_t *spec = platform_peer_spec(settings->peer);
+    CLEAN_JSON json_t *spec = platform_peer_spec(settings->peer_addr);
     switch (discovery->step) {
         case DISCOVERY_CREATE:
-            platform_create_call(&head, settings->store, KIND_PEERS,
+            platform_create_call(&head, settings->store_addr, KIND_PEERS,
                                  settings->name, spec);
             break;
         case DISCOVERY_REPLACE:
-            platform_replace_call(&head, settings->store, KIND_PEERS,
+            platform_replace_call(&head, settings->store_addr, KIND_PEERS,
                                   settings->name, 0, spec);
             break;
         case DISCOVERY_LIST:
         case DISCOVERY_DONE:
-            platform_list_call(&head, settings->store, KIND_PEERS, "");
+            platform_list_call(&head, settings->store_addr, KIND_PEERS, "");
             break;
     }
-    fetch_ask_t ask = {.addr = settings->store,
-                       .call = &head,
-                       .connect_ms = STORE_CONNECT_TIMEOUT_MS,
-                       .total_ms = STORE_TIMEOUT_MS,
-                       .on_done = on_done,
-                       .arg = discovery};
+    fetch_options_t ask = {.addr = settings->store_addr,
+                           .request = &head,
+                           .connect_ms = STORE_CONNECT_TIMEOUT_MS,
+                           .total_ms = STORE_TIMEOUT_MS,
+                           .on_done = on_done,
+                           .arg = discovery};
     discovery->fetch = fetch_start(discovery->exchanges, &ask);
 }
 
@@ -102,7 +102,7 @@
         return;
     }
     if (discovery->step == DISCOVERY_DONE) {
-        if (members_live(discovery->members) > 1) {
+        if (members_live_count(discovery->members) > 1) {
             discovery->next_ms = now + RELIST_INTERVAL_MS;
             return;
         }
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -53,12 +53,12 @@
         server->announced_unshared_tokens = server->unshared_tokens;
         server->announced_ms = now_ms;
         server->announced_sent_tokens = server->sent_tokens;
-        out->loads[out->load_count++] =
-            (peer_load_t){.server = server->key,
-                          .unread = (uint32_t)server->own_prefill_tokens,
-                          .running = (uint32_t)server->own_running,
-                          .filled = server->unshared_tokens,
-                          .sent = server->sent_tokens};
+        out->loads[out->load_count++] = (peer_load_t){
+            .server_hash = server->key,
+            .prefill_tokens = (uint32_t)server->own_prefill_tokens,
+            .running = (uint32_t)server->own_running,
+            .unshared_tokens = server->unshared_tokens,
+            .sent_tokens = server->sent_tokens};
     }
     return out->load_count > 0;
 }
@@ -70,16 +70,17 @@
 {
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
-        server_t *server = servers_find_by_key(servers, load->server);
+        server_t *server = servers_find_by_key(servers, load->server_hash);
         if (server == NULL) {
             continue;
         }
-        const server_peer_load_t report = {.host = host,
-                                           .received_ms = now_ms,
-                                           .prefill_tokens = load->unread,
-                                           .running = (int)load->running,
-                                           .unshared_tokens = load->filled,
-                                           .sent_tokens = load->sent};
+        const server_peer_load_t report = {
+            .host = host,
+            .received_ms = now_ms,
+            .prefill_tokens = load->prefill_tokens,
+            .running = (int)load->running,
+            .unshared_tokens = load->unshared_tokens,
+            .sent_tokens = load->sent_tokens};
         server_apply_peer_load(server, &report);
     }
 }
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -35,11 +35,11 @@
         .received_ms = time_mono_ms(),
         .prefill_tokens = fact->load.waiting_tokens,
         .running = fact->load.running,
-        .unshared_tokens = fact->load.filled};
+        .unshared_tokens = fact->load.unshared_tokens};
     apply_weights(relay, server, &fact->load);
     server_apply_peer_load(server, &report);
-    if (fact->load.at_server >= 0) {
-        server_set_load(server, fact->load.at_server, 0, time_mono_ms());
+    if (fact->load.total_requests >= 0) {
+        server_set_load(server, fact->load.total_requests, 0, time_mono_ms());
     }
 }
 
@@ -51,7 +51,8 @@
         apply_load(relay, host, fact);
         return;
     }
-    const cached_part_t part = {fact->key, fact->tokens, fact->part};
+    const cached_part_t part = {fact->key, fact->prefix_tokens,
+                                fact->part_tokens};
     if (!fact->held) {
         cache_evicted(relay, fact->backend, fact->key);
         return;
--- a/relay/peers-internal.h
+++ b/relay/peers-internal.h
@@ -21,7 +21,7 @@
     struct event *load_timer;
     size_t load_intervals; /* passed since loads were last announced */
     members_t *members;
-    member_out_t member_messages;
+    member_outbox_t member_messages;
     peer_datagram_t pending;            /* facts to send with the next tick */
     peer_datagram_t scratch;            /* the datagram being built or read */
     unsigned char secret[SECRET_BYTES]; /* all zero: the network is private */
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -21,7 +21,7 @@
         struct sockaddr_in to;
         if (live[i].health != MEMBER_DEAD &&
             strcmp(live[i].name, peers->relay->settings.name) != 0 &&
-            peers_parse_addr(live[i].peer, &to) == 0) {
+            peers_parse_addr(live[i].peer_addr, &to) == 0) {
             peers_send_bytes(peers, &to, data, len);
         }
     }
@@ -67,8 +67,8 @@
     str_copy(fact->backend, sizeof(fact->backend), server->info.id);
     fact->load.running = server->own_running;
     fact->load.waiting_tokens = (int)server->own_prefill_tokens;
-    fact->load.filled = server->unshared_tokens;
-    fact->load.at_server = -1;
+    fact->load.unshared_tokens = server->unshared_tokens;
+    fact->load.total_requests = -1;
     return fact;
 }
 
@@ -77,7 +77,7 @@
 void
 peers_notify_reported_load(peers_t *peers, const server_t *server)
 {
-    add_load_fact(peers, server)->load.at_server =
+    add_load_fact(peers, server)->load.total_requests =
         server->reported_running + server->reported_waiting;
 }
 
@@ -90,7 +90,7 @@
     peers_t *peers = arg;
     struct sockaddr_in at;
     if (peers_parse_addr(addr, &at) == 0 &&
-        strcmp(addr, peers->relay->settings.peer) != 0) {
+        strcmp(addr, peers->relay->settings.peer_addr) != 0) {
         quotas_confirm_host(&peers->relay->quotas, peers_host_id(&at),
                             time_mono_ms());
     }
@@ -105,7 +105,7 @@
     size_t count = members_list(peers->members, members, QUOTA_HOSTS_MAX);
     for (size_t i = 0; i < count; i++) {
         if (members[i].health != MEMBER_DEAD) {
-            peers_note_quota_host(peers, members[i].peer);
+            peers_note_quota_host(peers, members[i].peer_addr);
         }
     }
 }
@@ -145,7 +145,7 @@
     for (size_t i = 0; i < count && requested < FACT_REQUESTS_MAX; i++) {
         if (live[i].health == MEMBER_ALIVE &&
             strcmp(live[i].name, peers->relay->settings.name) != 0) {
-            peers_send(peers, live[i].peer, &peers->scratch);
+            peers_send(peers, live[i].peer_addr, &peers->scratch);
             requested++;
         }
     }
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -23,7 +23,7 @@
     relay_t *relay = peers->relay;
     double share =
         retry_hosts_slack_share(&peers->retry_hosts, peers_live_count(peers),
-                                (size_t)relay->settings.hosts, now);
+                                (size_t)relay->settings.hosts_min, now);
     relay->retry_shares.slack = share * relay->settings.retry_slack;
 }
 
@@ -55,7 +55,7 @@
     if (now < peers->next_round_ms) {
         return;
     }
-    peers->next_round_ms = now + members_interval_ms();
+    peers->next_round_ms = now + members_tick_interval_ms();
     update_retry_slack(peers, now);
     peers_note_quota_hosts(peers);
     members_tick(peers->members, now,
@@ -88,14 +88,14 @@
 add_seeds(peers_t *peers)
 {
     const settings_t *settings = &peers->relay->settings;
-    const char *port = strrchr(settings->peer, ':');
+    const char *port = strrchr(settings->peer_addr, ':');
     for (unsigned i = 0; i < settings->seed_count && port != NULL; i++) {
         char addr[CS_ADDR_MAX * 2];
         const char *colon = strrchr(settings->seeds[i], ':');
         (void)snprintf(addr, sizeof(addr), "%.*s%s",
                        (int)(colon - settings->seeds[i]), settings->seeds[i],
                        port);
-        members_seed(peers->members, addr);
+        members_add_seed(peers->members, addr);
     }
 }
 
@@ -103,18 +103,20 @@
 peers_t *
 peers_start(relay_t *relay, err_t *err)
 {
-    int fd = open_socket(relay->settings.peer);
+    int fd = open_socket(relay->settings.peer_addr);
     if (fd < 0) {
         (void)err_set(err, ERR_PEER, 1, "cannot listen at %s",
-                      relay->settings.peer);
+                      relay->settings.peer_addr);
         return NULL;
     }
     member_t self = {.incarnation = (uint64_t)time_wall_ms()};
     str_copy(self.name, sizeof(self.name), relay->settings.name);
     str_copy(self.dc, sizeof(self.dc), relay->settings.dc);
-    str_copy(self.peer, sizeof(self.peer), relay->settings.peer);
+    str_copy(self.peer_addr, sizeof(self.peer_addr),
+             relay->settings.peer_addr);
     /* Serves objects to other daemons: see object_cache_answer. */
-    str_copy(self.http, sizeof(self.http), relay->settings.metrics);
+    str_copy(self.http_addr, sizeof(self.http_addr),
+             relay->settings.metrics_addr);
     peers_t *peers = mem_zalloc(sizeof(*peers));
     peers->relay = relay;
     peers->fd = fd;
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -53,7 +53,7 @@
                    (long long)(time_mono_ms() - server->busy_since_ms));
     }
     server->unresponsive = true;
-    exchanges_drop(relay->exchanges, server->info.addr);
+    exchanges_close_idle(relay->exchanges, server->info.addr);
     requests_fail_over(relay, server);
 }
 
@@ -65,7 +65,7 @@
     server_t *server = servers_find(relay->servers, probe->id);
     if (server != NULL) {
         server->probing = false;
-        if (result->whole) {
+        if (result->complete) {
             if (server->unresponsive) {
                 log_record(LOG_INFO, "servers", "back", "server=%s",
                            server->info.id);
@@ -114,9 +114,9 @@
     probe->engine = server->info.engine;
     str_copy(probe->id, sizeof(probe->id), server->info.id);
     build_call(relay, server, &head);
-    fetch_ask_t ask = {
+    fetch_options_t ask = {
         .addr = server->info.addr,
-        .call = &head,
+        .request = &head,
         .connect_ms = CONNECT_TIMEOUT_MS,
         .total_ms = probe->engine ? REPORT_TIMEOUT_MS : HEALTH_TIMEOUT_MS,
         .on_done = on_done,
--- a/relay/relay-config.h
+++ b/relay/relay-config.h
@@ -5,7 +5,7 @@
  * by access key.  Decoded by platform/config-read.c, immutable once in force,
  * reference-counted. */
 
-#include "../kernel/http-door.h"
+#include "../kernel/http-listener.h"
 
 #include <ck_queue.h>
 
@@ -89,7 +89,7 @@
     int64_t version;    /* set by the operator */
     int64_t revision;   /* of the object in the store */
     bool keys_required; /* requests need an access key */
-    edge_limits_t limits;
+    http_limits_t limits;
     route_list_t routes[CONFIG_BUCKETS]; /* by hash of the host */
     key_list_t keys[CONFIG_BUCKETS];     /* by hash of the key */
     relay_services_t services;
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -81,11 +81,12 @@
     meter_write(&relay->meter, out);
     meter_write_value(out, "ready", relay_is_ready(relay));
     meter_write_value(out, "requests_running", (double)relay->request_count);
-    meter_write_value(out, "callers",
-                      (double)http_door_callers(relay->caller_listener));
+    meter_write_value(
+        out, "callers",
+        (double)http_listener_connections(relay->caller_listener));
     meter_write_value(out, "body_bytes", (double)relay->body_bytes);
     meter_write_value(out, "server_connections_total",
-                      (double)exchanges_opened(relay->exchanges));
+                      (double)exchanges_connections_opened(relay->exchanges));
     meter_write_value(
         out, "config_version",
         relay->config != NULL ? (double)relay->config->version : 0);
@@ -103,7 +104,7 @@
     meter_write_value(out, "cache_levels",
                       (double)cache_map_size(relay->cache_map));
     meter_write_value(out, "log_lines_left_out_total",
-                      (double)log_left_out_total());
+                      (double)log_dropped_total());
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         write_server_metrics(server, now, out);
     }
@@ -115,11 +116,11 @@
 {
     int64_t elapsed_ms = time_mono_ms() - relay->stop_requested_ms;
     int64_t grace_ms =
-        (int64_t)(relay->settings.stop_s * 1000) - SHUTDOWN_MARGIN_MS;
+        (int64_t)(relay->settings.stop_timeout_s * 1000) - SHUTDOWN_MARGIN_MS;
     if (relay_is_closed(relay) || elapsed_ms >= grace_ms) {
-        http_door_shut(relay->caller_listener);
+        http_listener_close_idle(relay->caller_listener);
     }
-    size_t callers = http_door_callers(relay->caller_listener);
+    size_t callers = http_listener_connections(relay->caller_listener);
     if ((elapsed_ms >= BALANCER_DRAIN_MS && callers == 0) ||
         elapsed_ms >= grace_ms) {
         log_record(LOG_INFO, "daemon", "stopped",
@@ -158,11 +159,11 @@
         return;
     }
     relay->stop_requested_ms = time_mono_ms();
-    http_door_leave(relay->caller_listener);
+    http_listener_drain(relay->caller_listener);
     log_record(LOG_INFO, "daemon", "stopping",
                "signal=%d requests=%zu callers=%zu", (int)number,
                relay->request_count,
-               http_door_callers(relay->caller_listener));
+               http_listener_connections(relay->caller_listener));
 }
 
 /* Reads the settings file again and applies those settings that may change at
@@ -181,8 +182,8 @@
         return;
     }
     relay->settings.objective = fresh.objective;
-    relay->settings.stop_s = fresh.stop_s;
-    relay->settings.weights_ms = fresh.weights_ms;
+    relay->settings.stop_timeout_s = fresh.stop_timeout_s;
+    relay->settings.old_weights_max_ms = fresh.old_weights_max_ms;
     log_setup(relay->settings.name, (log_level_t)fresh.log_level);
     log_record(LOG_INFO, "daemon", "reloaded", "file=%s",
                relay->settings_path);
@@ -251,7 +252,8 @@
     }
     log_record(LOG_INFO, "daemon", "started",
                "version=%s dc=%s http=%s ready=%s store=%s", CS_VERSION,
-               settings->dc, settings->http, settings->ready, settings->store);
+               settings->dc, settings->http_addr, settings->ready_addr,
+               settings->store_addr);
     discovery_start(relay);
     relay->rollout = rollout_new(relay);
     relay->cache_follower = cache_follower_new(relay);
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -7,7 +7,7 @@
  * a second thread would add context switches and locks but no throughput. */
 
 #include "../kernel/exchange.h"
-#include "../kernel/http-door.h"
+#include "../kernel/http-listener.h"
 #include "../kernel/settings.h"
 #include "../kernel/tables.h"
 #include "meter.h"
@@ -68,9 +68,9 @@
     struct event *tick_timer;
     struct event *signals[3];
     exchanges_t *exchanges;
-    http_door_t *caller_listener;
-    http_door_t *ready_listener;
-    http_door_t *metrics_listener; /* serves other daemons too */
+    http_listener_t *caller_listener;
+    http_listener_t *ready_listener;
+    http_listener_t *metrics_listener; /* serves other daemons too */
     request_list_t requests;
     size_t request_count;
     size_t body_bytes; /* bodies of all requests in flight */
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -55,7 +55,8 @@
     }
     return weights_superseded_ms(weights, server->info.weights,
                                  time_wall_ms()) <
-           (int64_t)(OLD_WEIGHTS_SHARE * request->relay->settings.weights_ms);
+           (int64_t)(OLD_WEIGHTS_SHARE *
+                     request->relay->settings.old_weights_max_ms);
 }
 
 static bool
@@ -141,27 +142,28 @@
     relay_t *relay = request->relay;
     memset(out, 0, sizeof(*out));
     out->id = server->number;
-    out->rate = SERVER_PREFILL_TOKENS_PER_MS * 1000 / server->slowness;
+    out->prefill_rate = SERVER_PREFILL_TOKENS_PER_MS * 1000 / server->slowness;
     out->running = server->own_running;
     out->same_dc = strcmp(server->info.dc, relay->settings.dc) == 0;
     double wait = request->engine ? expected_engine_wait_ms(server, now)
                                   : expected_plain_wait_ms(server, now);
     wait += now < server->full_until_ms ? FULL_COST_MS : 0;
     if (!request->engine) {
-        out->rank = place_weight(0, server->info.id);
+        out->rendezvous_weight = place_rendezvous_weight(0, server->info.id);
         out->wait_ms = wait + penalty_ms(request, server);
         return wait;
     }
     cache_view_t view;
     cache_lookup(relay, get_levels(request, server->info.weights, levels),
                  server, &view);
-    out->cached = view.found ? view.source.tokens : view.held_tokens;
+    out->cached_tokens = view.found ? view.source.tokens : view.held_tokens;
     wait += cache_fetch_ms(&view);
     /* The request's own part is prefilled on any server.  The extra time that
      * a slower server needs for it counts as wait. */
     wait += (request->prompt.prompt_tokens - view.shared_tokens) *
             (server->slowness - 1) / SERVER_PREFILL_TOKENS_PER_MS;
-    out->rank = place_weight(request->affinity_key, server->info.id);
+    out->rendezvous_weight =
+        place_rendezvous_weight(request->affinity_key, server->info.id);
     out->wait_ms = wait + penalty_ms(request, server);
     return wait;
 }
@@ -197,8 +199,8 @@
         return count;
     }
     for (size_t i = 0; i < count; i++) {
-        uint64_t rank =
-            place_weight(request->affinity_key, servers[i]->info.id);
+        uint64_t rank = place_rendezvous_weight(request->affinity_key,
+                                                servers[i]->info.id);
         first_choice = rank > highest_rank ? i : first_choice;
         highest_rank = rank > highest_rank ? rank : highest_rank;
     }
@@ -234,24 +236,24 @@
     }
     /* Only the shared part of the prompt can be cached anywhere. */
     prefix_t prefix = {.tokens = prompt_shared_tokens(&request->prompt)};
-    place_ask_t ask = {.prefix = &prefix,
-                       .objective = relay->settings.objective != 0
-                                        ? OBJECTIVE_HITS
-                                        : OBJECTIVE_TAIL,
-                       .turn = relay->placement_count++};
+    place_query_t ask = {.prefix = &prefix,
+                         .objective = relay->settings.objective != 0
+                                          ? OBJECTIVE_CACHE_HITS
+                                          : OBJECTIVE_TAIL_LATENCY,
+                         .placement_count = relay->placement_count++};
     size_t best = policy_find("cost")->choose(candidates, count, &ask);
     request->expected_wait_ms = waits[best];
-    uint32_t cached_tokens = candidates[best].cached;
+    uint32_t cached_tokens = candidates[best].cached_tokens;
     uint32_t tokens = request->prompt.prompt_tokens;
     request->expected_prefill_ms =
         (tokens > cached_tokens ? tokens - cached_tokens : 0) * 1000.0 /
-        candidates[best].rate;
+        candidates[best].prefill_rate;
     log_record(
         LOG_INFO, "place", "chosen",
         "id=%s server=%s among=%zu usable=%zu wait_ms=%.0f held=%u of=%u "
         "weights=%lld config=%lld",
         request->id, servers[best]->info.id, count, usable, waits[best],
-        candidates[best].cached, prefix.tokens,
+        candidates[best].cached_tokens, prefix.tokens,
         (long long)servers[best]->info.weights,
         (long long)request->config->version);
     return servers[best];
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -295,7 +295,7 @@
         /* Another server uses this address now and has an entry of its own.
          */
         server->address_taken = true;
-        exchanges_drop(request->relay->exchanges, server->info.addr);
+        exchanges_close_idle(request->relay->exchanges, server->info.addr);
         return;
     }
     server->full_until_ms = now + FULL_PAUSE_MS;
@@ -330,7 +330,7 @@
         case ANSWER_INVALID:
             break;
     }
-    return HEAD_TAKE;
+    return HEAD_ACCEPT;
 }
 
 /* The server has saved the shared parts of the prompt to the kv store. */
@@ -524,7 +524,7 @@
     request_t *request = arg;
     request->exchange = NULL;
     switch (end) {
-        case EXCHANGE_WHOLE:
+        case EXCHANGE_COMPLETE:
             on_complete_answer(request);
             return;
         case EXCHANGE_UNSENT:
@@ -534,7 +534,7 @@
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
-        case EXCHANGE_GARBLED:
+        case EXCHANGE_MALFORMED:
         case EXCHANGE_TIMEOUT:
             break;
     }
@@ -597,13 +597,14 @@
                           request->sent_ms);
     }
     relay->meter.sends++;
-    exchange_ask_t ask = {.addr = server->info.addr,
-                          .head = head.data,
-                          .head_len = head.len,
-                          .body = request->body->data,
-                          .body_len = request->body->len,
-                          .bodiless = request->head->method == HTTP_HEAD,
-                          .connect_ms = CONNECT_TIMEOUT_MS};
+    exchange_request_t ask = {
+        .addr = server->info.addr,
+        .head = head.data,
+        .head_len = head.len,
+        .body = request->body->data,
+        .body_len = request->body->len,
+        .no_response_body = request->head->method == HTTP_HEAD,
+        .connect_ms = CONNECT_TIMEOUT_MS};
     request->exchange = exchange_start(relay->exchanges, &ask, &request_hooks);
     if (request->sends == 1) {
         request->overhead_us = time_mono_us() - request->received_us;
--- a/relay/request.c
+++ b/relay/request.c
@@ -148,7 +148,7 @@
                request->id, reason, streaming ? 0 : status);
     request_end(request, reason);
     if (streaming) {
-        caller_break(caller);
+        caller_abort(caller);
         return;
     }
     answer_empty(caller, status, 0);
@@ -166,7 +166,7 @@
                             time_mono_ms());
     }
     if (request->possible_runs == 0 &&
-        (request->exchange == NULL || !exchange_sent(request->exchange))) {
+        (request->exchange == NULL || !exchange_has_sent(request->exchange))) {
         request_refuse(request, "no-server-in-time", RETRY_AFTER_NO_SERVER_MS);
         return;
     }
@@ -229,7 +229,7 @@
 static void
 abandon_attempt(request_t *request)
 {
-    bool sent = exchange_sent(request->exchange);
+    bool sent = exchange_has_sent(request->exchange);
     exchange_cancel(request->exchange);
     request->exchange = NULL;
     request->possible_runs += sent ? 1 : 0;
@@ -248,7 +248,7 @@
         if (request->server != server || request->exchange == NULL) {
             continue;
         }
-        bool sent = exchange_sent(request->exchange);
+        bool sent = exchange_has_sent(request->exchange);
         if (sent && !retry_can_rerun(request->route->kind,
                                      request->route->resumable)) {
             continue;
@@ -269,8 +269,9 @@
             : NULL;
     return weights != NULL && request->phase == REQUEST_SENT &&
            request->exchange != NULL && request->answer == ANSWER_NONE &&
-           weights_expired(weights, request->weights_version, time_wall_ms(),
-                           (int64_t)request->relay->settings.weights_ms);
+           weights_expired(
+               weights, request->weights_version, time_wall_ms(),
+               (int64_t)request->relay->settings.old_weights_max_ms);
 }
 
 /* Places waiting requests as soon as a server can take them, and ends those
@@ -492,6 +493,6 @@
     }
     retry_share_earn(&relay->retry_shares, request->service,
                      request->received_ms);
-    caller_serves(caller, request);
+    caller_set_owner(caller, request);
     (void)request_place(request);
 }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -128,7 +128,7 @@
     rollout_t *rollout = arg;
     bool wrote = rollout->lease_step != LEASE_READ;
     rollout->lease_fetch = NULL;
-    if (!result->whole) {
+    if (!result->complete) {
         lease_call_failed(&rollout->lease, time_boot_ms());
         if (wrote && result->sent) {
             lease_set_outcome_unknown(&rollout->lease);
@@ -154,7 +154,7 @@
 lease_send(rollout_t *rollout, lease_step_t step)
 {
     relay_t *relay = rollout->relay;
-    const char *addr = relay->settings.store;
+    const char *addr = relay->settings.store_addr;
     lease_t *lease = &rollout->lease;
     CLEAN_BUF buf_t call = {0};
     lease_step_sent(lease, step, time_boot_ms());
@@ -174,12 +174,12 @@
             platform_get_call(&call, addr, KIND_LEASES, LEASE_NAME);
             break;
     }
-    fetch_ask_t ask = {.addr = addr,
-                       .call = &call,
-                       .connect_ms = STORE_CONNECT_MS,
-                       .total_ms = STORE_CALL_MS,
-                       .on_done = on_lease_done,
-                       .arg = rollout};
+    fetch_options_t ask = {.addr = addr,
+                           .request = &call,
+                           .connect_ms = STORE_CONNECT_MS,
+                           .total_ms = STORE_CALL_MS,
+                           .on_done = on_lease_done,
+                           .arg = rollout};
     rollout->lease_step = step;
     rollout->lease_fetch = fetch_start(relay->exchanges, &ask);
 }
@@ -233,12 +233,12 @@
 static void
 job_send(job_t *job, const server_t *server, const buf_t *call)
 {
-    fetch_ask_t ask = {.addr = server->info.addr,
-                       .call = call,
-                       .connect_ms = ORDER_CONNECT_MS,
-                       .total_ms = ORDER_CALL_MS,
-                       .on_done = on_job_done,
-                       .arg = job};
+    fetch_options_t ask = {.addr = server->info.addr,
+                           .request = call,
+                           .connect_ms = ORDER_CONNECT_MS,
+                           .total_ms = ORDER_CALL_MS,
+                           .on_done = on_job_done,
+                           .arg = job};
     job->fetch = fetch_start(job->rollout->relay->exchanges, &ask);
 }
 
@@ -361,7 +361,7 @@
         job_free(job, 0);
         return;
     }
-    if (!result->whole) {
+    if (!result->complete) {
         log_record(LOG_WARN, "orders", "no-answer", "server=%s state=%d",
                    job->server, (int)job->state);
         job_free(job, JOB_RETRY_MS);
@@ -445,7 +445,7 @@
     rollout_t *rollout = mem_zalloc(sizeof(*rollout));
     char self[LEASE_HOLDER_MAX];
     (void)snprintf(self, sizeof(self), "%s/%s/%08llx", relay->settings.name,
-                   relay->settings.http,
+                   relay->settings.http_addr,
                    (unsigned long long)(rng_next(&relay->rng) & 0xffffffffu));
     rollout->relay = relay;
     CK_LIST_INIT(&rollout->jobs);
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -113,7 +113,7 @@
         consumed += event_len;
         from = 0;
     }
-    buf_drop(&stream->partial, consumed);
+    buf_consume(&stream->partial, consumed);
     stream->overflow = stream->partial.len > EVENT_BYTES_MAX;
     return events;
 }
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -75,7 +75,7 @@
     int64_t short_wait_until_ms; /* set when an upstream is lost */
     unsigned peer_calls;         /* since the store was last asked */
     bool listed;
-    uint64_t store_calls;
+    uint64_t store_call_count;
 };
 
 static void watch_call(watch_t *watch);
@@ -131,12 +131,12 @@
 {
     CLEAN_BUF buf_t head = {0};
     platform_list_call(&head, addr, watch->kind, "");
-    fetch_ask_t ask = {.addr = addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_TIMEOUT_MS,
-                       .total_ms = PEER_TIMEOUT_MS,
-                       .on_done = on_done,
-                       .arg = watch};
+    fetch_options_t ask = {.addr = addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_TIMEOUT_MS,
+                           .total_ms = PEER_TIMEOUT_MS,
+                           .on_done = on_done,
+                           .arg = watch};
     watch->calls_peer = true;
     watch->status = 0;
     watch->fetch = fetch_start(watch->exchanges, &ask);
@@ -335,15 +335,15 @@
     watch_t *watch = arg;
     watch->fetch = NULL;
     watch->status = result->status;
-    if (watch->calls_peer && result->whole && watch->status == 200) {
+    if (watch->calls_peer && result->complete && watch->status == 200) {
         apply_peer_list(watch, result);
         return;
     }
-    if (watch->calls_upstream && (!result->whole || watch->status != 200)) {
+    if (watch->calls_upstream && (!result->complete || watch->status != 200)) {
         unfollow(watch);
         return;
     }
-    if (!result->whole) {
+    if (!result->complete) {
         handle_failure(watch, "no-answer");
         return;
     }
@@ -374,12 +374,12 @@
     }
     platform_watch_call(&head, addr, watch->kind, watch->revision,
                         FOLLOW_WAIT_MS);
-    fetch_ask_t ask = {.addr = addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_TIMEOUT_MS,
-                       .total_ms = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS,
-                       .on_done = on_done,
-                       .arg = watch};
+    fetch_options_t ask = {.addr = addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_TIMEOUT_MS,
+                           .total_ms = FOLLOW_WAIT_MS + FOLLOW_SLACK_MS,
+                           .on_done = on_done,
+                           .arg = watch};
     update_fresh(watch, false, false);
     watch->fetch = fetch_start(watch->exchanges, &ask);
     return true;
@@ -389,12 +389,12 @@
 call_store(watch_t *watch)
 {
     CLEAN_BUF buf_t head = {0};
-    fetch_ask_t ask = {.addr = watch->addr,
-                       .call = &head,
-                       .connect_ms = CONNECT_TIMEOUT_MS,
-                       .on_done = on_done,
-                       .arg = watch};
-    watch->store_calls++;
+    fetch_options_t ask = {.addr = watch->addr,
+                           .request = &head,
+                           .connect_ms = CONNECT_TIMEOUT_MS,
+                           .on_done = on_done,
+                           .arg = watch};
+    watch->store_call_count++;
     if (watch->state == WATCH_LISTING) {
         platform_list_call(&head, watch->addr, watch->kind, watch->list_after);
         ask.total_ms = LIST_TIMEOUT_MS;
@@ -491,7 +491,7 @@
 uint64_t
 watch_calls(const watch_t *watch)
 {
-    return watch->store_calls;
+    return watch->store_call_count;
 }
 
 /* The revision up to which the objects are known. */
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -122,10 +122,10 @@
 weights_observe(relay_t *relay, const char *model, int64_t version,
                 int64_t wall_ms)
 {
-    int64_t before_ms =
-        relay->weights_listed
-            ? 0
-            : (int64_t)relay->settings.weights_ms / UNKNOWN_AGE_DIVISOR;
+    int64_t before_ms = relay->weights_listed
+                            ? 0
+                            : (int64_t)relay->settings.old_weights_max_ms /
+                                  UNKNOWN_AGE_DIVISOR;
     weights_insert(relay, model, version, wall_ms - before_ms, before_ms > 0);
 }
 
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -155,7 +155,8 @@
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
-    peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
+    peer_fact_t fact = {
+        .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
     ck_assert(cached_parts_has(server->held, 5));
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -111,7 +111,7 @@
 engine_holds(const engine_cache_t *engine, uint64_t key, uint64_t blocks)
 {
     for (uint64_t i = 0; i < blocks; i++) {
-        if (!engine_cache_holds(engine, key * 1000000 + i)) {
+        if (!engine_cache_contains(engine, key * 1000000 + i)) {
             return false;
         }
     }
@@ -200,7 +200,7 @@
 {
     uint64_t i = 0;
     while (i < FAMILY_BLOCKS &&
-           engine_cache_has(server->engine, family * 1000000 + i)) {
+           engine_cache_lookup(server->engine, family * 1000000 + i)) {
         i++;
     }
     return i;
@@ -250,12 +250,14 @@
                 estimated_held(&servers[i], family, now, estimate);
             all[i].id = (uint16_t)i;
             all[i].wait_ms = -WAIT_MEAN_MS * log(uniform(&rng));
-            all[i].rate = PREFILL_TOKENS_PER_S;
-            all[i].cached = estimated ? shared.tokens : 0;
-            all[i].rank = place_weight(family, i % 2 == 0 ? "a" : "b") + i;
+            all[i].prefill_rate = PREFILL_TOKENS_PER_S;
+            all[i].cached_tokens = estimated ? shared.tokens : 0;
+            all[i].rendezvous_weight =
+                place_rendezvous_weight(family, i % 2 == 0 ? "a" : "b") + i;
             all[i].same_dc = true;
         }
-        place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
+        place_query_t ask = {.prefix = &shared,
+                             .objective = OBJECTIVE_TAIL_LATENCY};
         size_t best = policy_find("cost")->choose(all, SERVERS, &ask);
         sim_server_t *server = &servers[best];
         prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
--- a/tests/test-http-reader.c
+++ b/tests/test-http-reader.c
@@ -35,7 +35,7 @@
     buf_free(&feed->body);
 }
 
-/* Take bytes as far as they go. */
+/* Adds bytes and reads until there is no more progress. */
 static reader_state_t
 feed_bytes(feed_t *feed, const char *data, size_t len)
 {
@@ -60,10 +60,10 @@
     return state;
 }
 
-/* A caller hides a second request in the first: router and server disagree on
- * where the first one ends, and the server runs a request that no caller
- * sent.  Whatever two readers can take in two ways is refused. */
-START_TEST(what_can_be_read_in_two_ways_is_refused)
+/* Guards against request smuggling: a caller hides a second request in the
+ * first, router and server disagree on where the first one ends, and the
+ * server runs a request that no caller sent.  Such requests are rejected. */
+START_TEST(ambiguous_requests_are_rejected)
 {
     static const char *const texts[] = {
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n"
@@ -89,26 +89,26 @@
     for (size_t i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
         int status = 0;
         reader_state_t state = read_request(texts[i], &status);
-        ck_assert_msg(state == READER_BAD, "text %zu was taken", i);
+        ck_assert_msg(state == READER_INVALID, "text %zu was accepted", i);
         ck_assert_int_eq(status, 400);
     }
 }
 END_TEST
 
-START_TEST(a_head_over_the_limit_is_told_so)
+START_TEST(a_head_over_the_limit_gets_431)
 {
     char text[HEAD_MAX * 2];
     int status = 0;
     int len = snprintf(text, sizeof(text), "GET / HTTP/1.1\r\nHost: a\r\nX: ");
     memset(text + len, 'x', sizeof(text) - (size_t)len);
     memcpy(text + sizeof(text) - 5, "\r\n\r\n", 5);
-    ck_assert_int_eq(read_request(text, &status), READER_BAD);
+    ck_assert_int_eq(read_request(text, &status), READER_INVALID);
     ck_assert_int_eq(status, 431);
 }
 END_TEST
 
-/* Bytes of the next request have come with the body of this one.  They stay
- * where they are until this one is answered. */
+/* Bytes of the next request that arrive with the body of this one stay in the
+ * buffer until this one is answered. */
 START_TEST(the_next_request_stays_in_the_buffer)
 {
     static const char text[] =
@@ -116,11 +116,11 @@
         "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n";
     feed_t feed;
     feed_open(&feed, false);
-    ck_assert_int_eq(feed_bytes(&feed, text, strlen(text)), READER_WHOLE);
+    ck_assert_int_eq(feed_bytes(&feed, text, strlen(text)), READER_COMPLETE);
     ck_assert_str_eq(buf_text(&feed.body), "abcde");
     ck_assert_uint_eq(evbuffer_get_length(feed.in), 28);
     http_reader_next(&feed.reader);
-    ck_assert_int_eq(feed_bytes(&feed, "", 0), READER_WHOLE);
+    ck_assert_int_eq(feed_bytes(&feed, "", 0), READER_COMPLETE);
     ck_assert(http_head_is(&feed.reader.head, feed.reader.head.target, "/b"));
     feed_close(&feed);
 }
@@ -135,11 +135,11 @@
     reader_state_t state = READER_HEAD;
     feed_open(&feed, false);
     for (size_t i = 0; i < sizeof(text) - 1; i++) {
-        ck_assert_int_ne(state, READER_WHOLE);
+        ck_assert_int_ne(state, READER_COMPLETE);
         state = feed_bytes(&feed, text + i, 1);
     }
     const http_head_t *head = &feed.reader.head;
-    ck_assert_int_eq(state, READER_WHOLE);
+    ck_assert_int_eq(state, READER_COMPLETE);
     ck_assert_str_eq(http_head_method(head), "POST");
     ck_assert(http_head_is(head, head->target, "/p?q=1"));
     ck_assert_uint_eq(head->count, 4);
@@ -149,30 +149,30 @@
 }
 END_TEST
 
-/* A server's answer has no length and its connection breaks.  Only an end
- * that the server made itself makes it whole. */
-START_TEST(an_answer_without_a_length_ends_with_its_connection)
+/* A response without a length is complete when the server closes the
+ * connection.  One with a length is not if the connection ends early. */
+START_TEST(a_response_without_a_length_ends_with_its_connection)
 {
     static const char text[] = "HTTP/1.1 200 OK\r\nX: y\r\n\r\npart";
     feed_t feed;
     feed_open(&feed, true);
     ck_assert_int_eq(feed_bytes(&feed, text, strlen(text)), READER_BODY);
     ck_assert(feed.reader.head.until_close);
-    ck_assert_int_eq(http_reader_eof(&feed.reader), READER_WHOLE);
+    ck_assert_int_eq(http_reader_eof(&feed.reader), READER_COMPLETE);
     feed_close(&feed);
 
     static const char with_length[] =
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart";
     feed_open(&feed, true);
     (void)feed_bytes(&feed, with_length, strlen(with_length));
-    ck_assert_int_ne(http_reader_eof(&feed.reader), READER_WHOLE);
+    ck_assert_int_ne(http_reader_eof(&feed.reader), READER_COMPLETE);
     feed_close(&feed);
 }
 END_TEST
 
-/* Whatever comes, the reader ends in a state and stays within its bounds:
- * seeded damage to whole messages, cut into pieces of random length. */
-START_TEST(damaged_messages_do_no_harm)
+/* For any input the reader terminates and stays within its bounds.  The input
+ * is valid messages with seeded damage, split into pieces of random length. */
+START_TEST(damaged_messages_stay_within_bounds)
 {
     static const char text[] =
         "POST /p HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
@@ -192,7 +192,7 @@
         while (at < sizeof(text) - 1) {
             size_t step = 1 + (size_t)rng_below(&rng, 20);
             step = step < sizeof(text) - 1 - at ? step : sizeof(text) - 1 - at;
-            if (feed_bytes(&feed, copy + at, step) == READER_BAD) {
+            if (feed_bytes(&feed, copy + at, step) == READER_INVALID) {
                 break;
             }
             at += step;
@@ -204,9 +204,8 @@
 }
 END_TEST
 
-TEST_MAIN("http-reader", what_can_be_read_in_two_ways_is_refused,
-          a_head_over_the_limit_is_told_so,
-          the_next_request_stays_in_the_buffer,
+TEST_MAIN("http-reader", ambiguous_requests_are_rejected,
+          a_head_over_the_limit_gets_431, the_next_request_stays_in_the_buffer,
           a_request_may_come_byte_by_byte,
-          an_answer_without_a_length_ends_with_its_connection,
-          damaged_messages_do_no_harm)
+          a_response_without_a_length_ends_with_its_connection,
+          damaged_messages_stay_within_bounds)
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -32,7 +32,7 @@
 {
     peer_fact_t fact = {.is_load = true};
     str_copy(fact.backend, sizeof(fact.backend), id);
-    fact.load.at_server = -1;
+    fact.load.total_requests = -1;
     return fact;
 }
 
@@ -42,15 +42,16 @@
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
-    peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
+    peer_fact_t fact = {
+        .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
     ck_assert(cached_parts_has(server->held, 5));
     fact.key = 6;
-    fact.part = 0;
+    fact.part_tokens = 0;
     peers_apply(relay, 1, &fact);
     ck_assert(!cached_parts_has(server->held, 6));
-    ck_assert(cache_map_knows(relay->cache_map, 6));
+    ck_assert(cache_map_has_key(relay->cache_map, 6));
     relay_free(relay);
 }
 END_TEST
@@ -62,14 +63,15 @@
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
-    peer_fact_t fact = {.key = 5, .tokens = 700, .part = 300, .held = true};
+    peer_fact_t fact = {
+        .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     peers_apply(relay, 1, &fact);
     str_copy(fact.backend, sizeof(fact.backend), "b");
     peers_apply(relay, 1, &fact);
     peer_fact_t load = make_load("b");
     peers_apply(relay, 1, &load);
     ck_assert(!cached_parts_has(server->held, 5));
-    ck_assert(!cache_map_knows(relay->cache_map, 5));
+    ck_assert(!cache_map_has_key(relay->cache_map, 5));
     relay_free(relay);
 }
 END_TEST
@@ -85,7 +87,7 @@
     cached_parts_use(server->held, &part);
     peer_fact_t load = make_load("a");
     load.load.running = 2;
-    load.load.at_server = 6;
+    load.load.total_requests = 6;
     str_copy(load.load.version, sizeof(load.load.version), "1");
     str_copy(load.load.loading, sizeof(load.load.loading), "2");
     peers_apply(relay, 1, &load);
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -115,7 +115,7 @@
 static void
 sim_deliver(sim_t *sim, int64_t now)
 {
-    static peer_datagram_t datagram = {.kind = PEER_QUOTAS};
+    static peer_datagram_t datagram = {.kind = PEER_USAGES};
     size_t remaining = 0;
     for (size_t i = 0; i < sim->in_flight_count; i++) {
         sim_datagram_t *item = &sim->in_flight[i];
@@ -420,15 +420,15 @@
     quotas_config_end(&quotas);
     quota_t *quota = quotas_find(&quotas, WORKSPACE);
     static peer_datagram_t first = {
-        .kind = PEER_QUOTAS, .incarnation = 5, .sequence = 1};
+        .kind = PEER_USAGES, .incarnation = 5, .sequence = 1};
     quotas_apply(&quotas, 7, &first, 20000);
     (void)quota_available(&quotas, quota, 30000);
-    static peer_datagram_t second = {.kind = PEER_QUOTAS,
+    static peer_datagram_t second = {.kind = PEER_USAGES,
                                      .incarnation = 5,
                                      .sequence = 3,
                                      .usage_count = 1};
     second.usages[0] = (peer_usage_t){quota->workspace, 400, 400};
-    static peer_datagram_t late = {.kind = PEER_QUOTAS,
+    static peer_datagram_t late = {.kind = PEER_USAGES,
                                    .incarnation = 5,
                                    .sequence = 2,
                                    .usage_count = 1};
@@ -449,7 +449,7 @@
 {
     quotas_t quotas;
     const quota_limit_t limit = {1000, 1000};
-    static peer_datagram_t datagram = {.kind = PEER_QUOTAS,
+    static peer_datagram_t datagram = {.kind = PEER_USAGES,
                                        .incarnation = 500,
                                        .sequence = 9,
                                        .usage_count = 1};
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -138,11 +138,13 @@
             sim_report(&all[i], now);
             candidates[i].wait_ms =
                 server_slot_wait_ms(all[i].server, (int64_t)now);
-            candidates[i].rate = 48000;
-            candidates[i].cached = i == 0 ? SIM_SHARED_TOKENS : 0;
-            candidates[i].rank = place_weight(7, all[i].server->info.id);
+            candidates[i].prefill_rate = 48000;
+            candidates[i].cached_tokens = i == 0 ? SIM_SHARED_TOKENS : 0;
+            candidates[i].rendezvous_weight =
+                place_rendezvous_weight(7, all[i].server->info.id);
         }
-        place_ask_t ask = {.prefix = &shared, .objective = OBJECTIVE_TAIL};
+        place_query_t ask = {.prefix = &shared,
+                             .objective = OBJECTIVE_TAIL_LATENCY};
         size_t best =
             policy_find("cost")->choose(candidates, SIM_SERVERS, &ask);
         in_time += sim_take_slot(&all[best], now) <= SIM_TARGET_MS ? 1 : 0;
