--- a/fakes/fake-load.c
+++ b/fakes/fake-load.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Sends a planned load, waits for its end, and prints a report. */
+/* Sends a planned load, waits for the answers and writes a report. */
 
-#define END_WAIT_MS 30000
+#define COMPLETION_WAIT_MS 30000
 
 typedef struct {
     load_opts_t opts;
@@ -17,8 +17,8 @@
 
 static const struct argp_option options[] = {
     {"file", 'f', "FILE", 0, "experiment file (INI)", 0},
-    {"set", 'o', "KEY=VALUE", 0, "set one option of it", 0},
-    {"out", 'w', "FILE", 0, "write the report there", 0},
+    {"set", 'o', "KEY=VALUE", 0, "set one option of the experiment", 0},
+    {"out", 'w', "FILE", 0, "write the report to this file", 0},
     {0},
 };
 
@@ -41,7 +41,8 @@
             }
             if (equals == NULL ||
                 load_opts_set(&args->opts, arg, equals + 1) != 0) {
-                argp_failure(state, EXIT_SETTINGS, 0, "bad option %s", arg);
+                argp_failure(state, EXIT_SETTINGS, 0,
+                             "unknown option or bad value: %s", arg);
             }
             return 0;
         case 'w':
@@ -53,85 +54,92 @@
 }
 
 static const struct argp arguments = {
-    options, parse_option, NULL, "Sends callers' load and checks the answers.",
-    NULL,    NULL,         NULL};
+    options, parse_option,
+    NULL,    "Generates client load and checks the answers.",
+    NULL,    NULL,
+    NULL};
 
 static void
-wait_until(int64_t began_us, double at_s)
+wait_until(int64_t started_us, double due_s)
 {
-    int64_t due = began_us + (int64_t)(at_s * 1e6);
-    int64_t left = due - time_mono_us();
-    if (left > 1000) {
-        time_sleep_ms((int)(left / 1000));
+    int64_t due_us = started_us + (int64_t)(due_s * 1e6);
+    int64_t wait_us = due_us - time_mono_us();
+    if (wait_us > 1000) {
+        time_sleep_ms((int)(wait_us / 1000));
     }
 }
 
-/* Measured against the time behind the warm-up only. */
+/* Figures on the prompts sent after the warm-up. */
 typedef struct {
     load_blocks_t *blocks;
-    json_t *engines; /* their truth when the warm-up ended */
-} measure_t;
+    json_t *engines_baseline; /* engine counters at the end of the warm-up */
+} prompt_stats_t;
 
 static void
-measure(measure_t *mine, const load_opts_t *opts, const load_ask_t *ask)
+add_prompt(prompt_stats_t *stats, const load_opts_t *opts,
+           const load_chat_t *chat)
 {
-    bool count = ask->at_s >= opts->warm_s;
-    CLEAN_JSON json_t *messages = load_messages(opts, ask);
-    if (count && mine->engines == NULL) {
-        mine->engines = load_engines_json(opts);
+    bool counted = chat->due_s >= opts->warmup_s;
+    CLEAN_JSON json_t *messages = load_plan_messages(opts, chat);
+    if (counted && stats->engines_baseline == NULL) {
+        stats->engines_baseline = load_blocks_engines_json(opts);
     }
-    load_blocks_add(mine->blocks, ask->workspace, messages, count);
+    load_blocks_add(stats->blocks, chat->workspace, messages, counted);
 }
 
 static json_t *
-measure_json(const measure_t *mine, const load_opts_t *opts)
+prompt_stats_json(const prompt_stats_t *stats, const load_opts_t *opts)
 {
-    CLEAN_JSON json_t *now = load_engines_json(opts);
-    json_t *out = load_blocks_json(mine->blocks);
+    CLEAN_JSON json_t *engines_now = load_blocks_engines_json(opts);
+    json_t *out = load_blocks_json(stats->blocks);
     const char *key;
     json_t *value;
-    json_object_foreach (now, key, value) {
+    json_object_foreach (engines_now, key, value) {
         (void)json_object_set_new(
             out, key,
             json_integer(json_integer_value(value) -
-                         json_int(mine->engines, key, 0)));
+                         json_int(stats->engines_baseline, key, 0)));
     }
     double cached = (double)json_int(out, "tokens_cached", 0);
-    double filled = (double)json_int(out, "tokens_prefilled", 0);
-    double first = (double)json_int(out, "tokens_new", 0);
-    double all = cached + filled;
-    (void)json_object_set_new(out, "hit_rate",
-                              json_real(all > 0 ? cached / all : 0));
+    double prefilled = (double)json_int(out, "tokens_prefilled", 0);
+    double new_tokens = (double)json_int(out, "tokens_new", 0);
+    double prompt_tokens = cached + prefilled;
+    (void)json_object_set_new(
+        out, "hit_rate",
+        json_real(prompt_tokens > 0 ? cached / prompt_tokens : 0));
     (void)json_object_set_new(
         out, "recomputed_rate",
-        json_real(all > 0 && filled > first ? (filled - first) / all : 0));
+        json_real(prompt_tokens > 0 && prefilled > new_tokens
+                      ? (prefilled - new_tokens) / prompt_tokens
+                      : 0));
     return out;
 }
 
 static void
-drive(load_client_t *client, const load_opts_t *opts, measure_t *mine)
+run_load(load_client_t *client, const load_opts_t *opts, prompt_stats_t *stats)
 {
     load_plan_t *plan = load_plan_new(opts);
-    load_ask_t ask;
-    int64_t began = time_mono_us();
-    uint64_t keyed = 0;
-    while (opts->rate > 0 && load_plan_next(plan, &ask)) {
+    load_chat_t chat;
+    int64_t started_us = time_mono_us();
+    uint64_t keyed_sent = 0;
+    while (opts->rate > 0 && load_plan_next(plan, &chat)) {
         while (opts->keyed_rate > 0 &&
-               (double)keyed / opts->keyed_rate < ask.at_s) {
-            load_client_keyed(client, keyed++);
+               (double)keyed_sent / opts->keyed_rate < chat.due_s) {
+            load_client_send_keyed(client, keyed_sent++);
         }
-        measure(mine, opts, &ask);
-        wait_until(began, ask.at_s);
-        load_client_chat(client, &ask);
+        add_prompt(stats, opts, &chat);
+        wait_until(started_us, chat.due_s);
+        load_client_send_chat(client, &chat);
     }
     while (opts->keyed_rate > 0 &&
-           (double)keyed / opts->keyed_rate < opts->seconds) {
-        wait_until(began, (double)keyed / opts->keyed_rate);
-        load_client_keyed(client, keyed++);
+           (double)keyed_sent / opts->keyed_rate < opts->seconds) {
+        wait_until(started_us, (double)keyed_sent / opts->keyed_rate);
+        load_client_send_keyed(client, keyed_sent++);
     }
     load_plan_free(plan);
-    int64_t last = time_mono_ms() + END_WAIT_MS;
-    while (load_client_running(client) > 0 && time_mono_ms() < last) {
+    int64_t deadline_ms = time_mono_ms() + COMPLETION_WAIT_MS;
+    while (load_client_running_count(client) > 0 &&
+           time_mono_ms() < deadline_ms) {
         time_sleep_ms(5);
     }
 }
@@ -147,18 +155,19 @@
         (void)fprintf(stderr, "fake-load: no targets\n");
         return EXIT_SETTINGS;
     }
-    size_t max = (size_t)(args.opts.rate * args.opts.seconds *
-                          (1 + args.opts.burst_factor)) +
-                 10000;
-    load_report_out_t *report = load_report_new(max);
+    size_t results_max = (size_t)(args.opts.rate * args.opts.seconds *
+                                  (1 + args.opts.burst_factor)) +
+                         10000;
+    load_test_report_t *report = load_report_new(results_max);
     load_client_t *client = load_client_new(&args.opts, report);
-    measure_t mine = {.blocks = load_blocks_new()};
-    drive(client, &args.opts, &mine);
-    size_t left = load_client_running(client);
+    prompt_stats_t stats = {.blocks = load_blocks_new()};
+    run_load(client, &args.opts, &stats);
+    size_t unanswered = load_client_running_count(client);
     json_t *out = load_report_json(report, &args.opts);
     (void)json_object_set_new(out, "unanswered",
-                              json_integer((json_int_t)left));
-    (void)json_object_set_new(out, "prompts", measure_json(&mine, &args.opts));
+                              json_integer((json_int_t)unanswered));
+    (void)json_object_set_new(out, "prompts",
+                              prompt_stats_json(&stats, &args.opts));
     (void)json_object_set_new(out, "keyed", load_client_keyed_json(client));
     FILE *file = args.out == NULL ? stdout : fopen(args.out, "we");
     if (file != NULL) {
@@ -169,8 +178,8 @@
         (void)fclose(file);
     }
     json_decref(out);
-    json_decref(mine.engines);
-    load_blocks_free(mine.blocks);
+    json_decref(stats.engines_baseline);
+    load_blocks_free(stats.blocks);
     load_client_free(client);
     load_report_free(report);
     return EXIT_SUCCESS;
--- a/fakes/load-blocks.c
+++ b/fakes/load-blocks.c
@@ -3,11 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Which blocks of the prompts are new: the prefill that no placement could
- * have saved.  Whatever the engines prefill beyond that was computed before,
- * so it is the upper bound of wasted recomputation. */
+/* Counts the prompt blocks that occur for the first time: the prefill that no
+ * placement could have avoided.  All tokens that the engines prefill beyond
+ * that were computed before, so the difference is an upper bound of the wasted
+ * recomputation. */
 
-#define TABLE_FIRST (1 << 16)
+#define TABLE_SIZE_INITIAL (1 << 16)
 
 struct load_blocks {
     uint64_t *keys;
@@ -21,7 +22,7 @@
 load_blocks_new(void)
 {
     load_blocks_t *blocks = mem_zalloc(sizeof(*blocks));
-    blocks->size = TABLE_FIRST;
+    blocks->size = TABLE_SIZE_INITIAL;
     blocks->keys = mem_zalloc(blocks->size * sizeof(uint64_t));
     return blocks;
 }
@@ -33,30 +34,30 @@
     free(blocks);
 }
 
-/* Put a key in; false if it is there. */
+/* Insert a key; false if it is already in the table. */
 static bool
-put(load_blocks_t *blocks, uint64_t key)
+insert_key(load_blocks_t *blocks, uint64_t key)
 {
-    size_t at = key & (blocks->size - 1);
-    while (blocks->keys[at] != 0) {
-        if (blocks->keys[at] == key) {
+    size_t slot = key & (blocks->size - 1);
+    while (blocks->keys[slot] != 0) {
+        if (blocks->keys[slot] == key) {
             return false;
         }
-        at = (at + 1) & (blocks->size - 1);
+        slot = (slot + 1) & (blocks->size - 1);
     }
-    blocks->keys[at] = key;
+    blocks->keys[slot] = key;
     blocks->used++;
     return true;
 }
 
 static void
-grow(load_blocks_t *blocks)
+grow_table(load_blocks_t *blocks)
 {
     load_blocks_t larger = {.size = blocks->size * 2};
     larger.keys = mem_zalloc(larger.size * sizeof(uint64_t));
     for (size_t i = 0; i < blocks->size; i++) {
         if (blocks->keys[i] != 0) {
-            (void)put(&larger, blocks->keys[i]);
+            (void)insert_key(&larger, blocks->keys[i]);
         }
     }
     free(blocks->keys);
@@ -64,31 +65,33 @@
     blocks->size = larger.size;
 }
 
-/* Take a prompt in; with count it goes into the figures. */
+/* Record the blocks of a prompt; its tokens are added to the totals only if
+ * counted is set. */
 void
 load_blocks_add(load_blocks_t *blocks, unsigned workspace,
-                const json_t *messages, bool count)
+                const json_t *messages, bool counted)
 {
     CLEAN_BUF buf_t text = {0};
     uint64_t key = workspace + 1;
-    uint64_t fresh = 0;
-    size_t at = 0;
+    uint64_t new_tokens = 0;
+    size_t offset = 0;
     prefix_render(messages, &text);
-    for (; at + PREFIX_BLOCK_BYTES <= text.len; at += PREFIX_BLOCK_BYTES) {
+    for (; offset + PREFIX_BLOCK_BYTES <= text.len;
+         offset += PREFIX_BLOCK_BYTES) {
         if (blocks->used * 2 > blocks->size) {
-            grow(blocks);
+            grow_table(blocks);
         }
-        key = prefix_chain(key, text.data + at);
-        fresh += put(blocks, key) ? PREFIX_BLOCK_TOKENS : 0;
+        key = prefix_chain(key, text.data + offset);
+        new_tokens += insert_key(blocks, key) ? PREFIX_BLOCK_TOKENS : 0;
     }
-    fresh += (text.len - at) / PREFIX_TOKEN_BYTES;
-    if (count) {
-        blocks->tokens_new += fresh;
+    new_tokens += (text.len - offset) / PREFIX_TOKEN_BYTES;
+    if (counted) {
+        blocks->tokens_new += new_tokens;
         blocks->tokens_all += text.len / PREFIX_TOKEN_BYTES;
     }
 }
 
-/* Tokens of all prompts, and of those that were there for the first time. */
+/* The tokens of all counted prompts, and those of them that were new. */
 json_t *
 load_blocks_json(const load_blocks_t *blocks)
 {
@@ -96,9 +99,9 @@
                      "tokens_all", (json_int_t)blocks->tokens_all);
 }
 
-/* The engines' own counts, added up. */
+/* The sums of the counters that the engines report at /truth. */
 json_t *
-load_engines_json(const load_opts_t *opts)
+load_blocks_engines_json(const load_opts_t *opts)
 {
     static const char *const keys[] = {"tokens_prefilled", "tokens_cached",
                                        "requests"};
--- a/fakes/load-opts.c
+++ b/fakes/load-opts.c
@@ -4,51 +4,57 @@
 #include <stdlib.h>
 #include <string.h>
 
-typedef enum { OPT_UNSIGNED, OPT_DOUBLE, OPT_SEED, OPT_FLAG, OPT_TEXT } type_t;
+typedef enum {
+    OPT_UNSIGNED,
+    OPT_DOUBLE,
+    OPT_SEED,
+    OPT_FLAG,
+    OPT_TEXT
+} option_type_t;
 
 typedef struct {
     const char *key;
-    type_t type;
+    option_type_t type;
     size_t offset;
     size_t size;
 } option_t;
 
-#define AT(field) offsetof(load_opts_t, field)
-#define ROOM(field) sizeof(((load_opts_t *)NULL)->field)
+#define FIELD_OFFSET(field) offsetof(load_opts_t, field)
+#define FIELD_SIZE(field) sizeof(((load_opts_t *)NULL)->field)
 
 static const option_t options[] = {
-    {"model", OPT_TEXT, AT(model), ROOM(model)},
-    {"service", OPT_TEXT, AT(service), ROOM(service)},
-    {"history", OPT_TEXT, AT(history), ROOM(history)},
-    {"seed", OPT_SEED, AT(seed), 0},
-    {"rate", OPT_DOUBLE, AT(rate), 0},
-    {"seconds", OPT_DOUBLE, AT(seconds), 0},
-    {"warm_s", OPT_DOUBLE, AT(warm_s), 0},
-    {"workspaces", OPT_UNSIGNED, AT(workspaces), 0},
-    {"publishers", OPT_UNSIGNED, AT(publishers), 0},
-    {"threads", OPT_UNSIGNED, AT(threads), 0},
-    {"zipf", OPT_DOUBLE, AT(zipf), 0},
-    {"tokens_rules", OPT_UNSIGNED, AT(tokens[0]), 0},
-    {"tokens_guidance", OPT_UNSIGNED, AT(tokens[1]), 0},
-    {"tokens_thread", OPT_UNSIGNED, AT(tokens[2]), 0},
-    {"tokens_comment", OPT_UNSIGNED, AT(tokens[3]), 0},
-    {"max_tokens", OPT_UNSIGNED, AT(max_tokens), 0},
-    {"thread_life_s", OPT_DOUBLE, AT(thread_life_s), 0},
-    {"hot_at_s", OPT_DOUBLE, AT(hot_at_s), 0},
-    {"hot_share", OPT_DOUBLE, AT(hot_share), 0},
-    {"burst_at_s", OPT_DOUBLE, AT(burst_at_s), 0},
-    {"burst_s", OPT_DOUBLE, AT(burst_s), 0},
-    {"burst_factor", OPT_DOUBLE, AT(burst_factor), 0},
-    {"flood_factor", OPT_DOUBLE, AT(flood_factor), 0},
-    {"keyed_rate", OPT_DOUBLE, AT(keyed_rate), 0},
-    {"key_repeats", OPT_UNSIGNED, AT(key_repeats), 0},
-    {"direct", OPT_FLAG, AT(direct), 0},
-    {"whole", OPT_FLAG, AT(whole), 0},
-    {"deadline_ms", OPT_UNSIGNED, AT(deadline_ms), 0},
-    {"resumes_max", OPT_UNSIGNED, AT(resumes_max), 0},
+    {"model", OPT_TEXT, FIELD_OFFSET(model), FIELD_SIZE(model)},
+    {"service", OPT_TEXT, FIELD_OFFSET(service), FIELD_SIZE(service)},
+    {"history", OPT_TEXT, FIELD_OFFSET(history), FIELD_SIZE(history)},
+    {"seed", OPT_SEED, FIELD_OFFSET(seed), 0},
+    {"rate", OPT_DOUBLE, FIELD_OFFSET(rate), 0},
+    {"seconds", OPT_DOUBLE, FIELD_OFFSET(seconds), 0},
+    {"warm_s", OPT_DOUBLE, FIELD_OFFSET(warmup_s), 0},
+    {"workspaces", OPT_UNSIGNED, FIELD_OFFSET(workspaces), 0},
+    {"publishers", OPT_UNSIGNED, FIELD_OFFSET(publishers), 0},
+    {"threads", OPT_UNSIGNED, FIELD_OFFSET(live_threads), 0},
+    {"zipf", OPT_DOUBLE, FIELD_OFFSET(zipf), 0},
+    {"tokens_rules", OPT_UNSIGNED, FIELD_OFFSET(level_tokens[0]), 0},
+    {"tokens_guidance", OPT_UNSIGNED, FIELD_OFFSET(level_tokens[1]), 0},
+    {"tokens_thread", OPT_UNSIGNED, FIELD_OFFSET(level_tokens[2]), 0},
+    {"tokens_comment", OPT_UNSIGNED, FIELD_OFFSET(level_tokens[3]), 0},
+    {"max_tokens", OPT_UNSIGNED, FIELD_OFFSET(max_tokens), 0},
+    {"thread_life_s", OPT_DOUBLE, FIELD_OFFSET(thread_life_s), 0},
+    {"hot_at_s", OPT_DOUBLE, FIELD_OFFSET(hot_at_s), 0},
+    {"hot_share", OPT_DOUBLE, FIELD_OFFSET(hot_share), 0},
+    {"burst_at_s", OPT_DOUBLE, FIELD_OFFSET(burst_at_s), 0},
+    {"burst_s", OPT_DOUBLE, FIELD_OFFSET(burst_s), 0},
+    {"burst_factor", OPT_DOUBLE, FIELD_OFFSET(burst_factor), 0},
+    {"flood_factor", OPT_DOUBLE, FIELD_OFFSET(flood_factor), 0},
+    {"keyed_rate", OPT_DOUBLE, FIELD_OFFSET(keyed_rate), 0},
+    {"key_repeats", OPT_UNSIGNED, FIELD_OFFSET(key_attempts), 0},
+    {"direct", OPT_FLAG, FIELD_OFFSET(bypass_router), 0},
+    {"whole", OPT_FLAG, FIELD_OFFSET(unstreamed), 0},
+    {"deadline_ms", OPT_UNSIGNED, FIELD_OFFSET(deadline_ms), 0},
+    {"resumes_max", OPT_UNSIGNED, FIELD_OFFSET(resumes_max), 0},
 };
 
-/* A small load of moderation traffic. */
+/* Set the defaults: a small load of moderation traffic. */
 void
 load_opts_default(load_opts_t *opts)
 {
@@ -57,14 +63,14 @@
                           .seconds = 5,
                           .workspaces = 8,
                           .publishers = 6,
-                          .threads = 4,
+                          .live_threads = 4,
                           .zipf = 1.0,
-                          .tokens = {600, 1200, 500, 60},
+                          .level_tokens = {600, 1200, 500, 60},
                           .max_tokens = 16,
                           .thread_life_s = 10,
                           .burst_factor = 1,
                           .flood_factor = 1,
-                          .key_repeats = 1,
+                          .key_attempts = 1,
                           .deadline_ms = 10000,
                           .resumes_max = 10};
     str_copy(opts->model, sizeof(opts->model), "moderation");
@@ -92,29 +98,29 @@
 static int
 set_value(load_opts_t *opts, const option_t *option, const char *value)
 {
-    char *at = (char *)opts + option->offset;
+    char *field = (char *)opts + option->offset;
     char *end = NULL;
     switch (option->type) {
         case OPT_UNSIGNED:
-            *(unsigned *)at = (unsigned)strtoul(value, &end, 10);
+            *(unsigned *)field = (unsigned)strtoul(value, &end, 10);
             break;
         case OPT_SEED:
-            *(uint64_t *)at = strtoull(value, &end, 10);
+            *(uint64_t *)field = strtoull(value, &end, 10);
             break;
         case OPT_DOUBLE:
-            *(double *)at = strtod(value, &end);
+            *(double *)field = strtod(value, &end);
             break;
         case OPT_FLAG:
-            *(bool *)at = strcmp(value, "true") == 0;
+            *(bool *)field = strcmp(value, "true") == 0;
             return 0;
         case OPT_TEXT:
-            str_copy(at, option->size, value);
+            str_copy(field, option->size, value);
             return 0;
     }
     return end == value || *end != '\0' ? -1 : 0;
 }
 
-/* Set one option by its name; -1 for a name or value that is not known. */
+/* Set one option by name; -1 for an unknown name or a bad value. */
 int
 load_opts_set(load_opts_t *opts, const char *key, const char *value)
 {
@@ -148,7 +154,7 @@
     return load_opts_set(arg, key, value) == 0;
 }
 
-/* Read an experiment file. */
+/* Read options from an experiment file (INI). */
 int
 load_opts_read(load_opts_t *opts, const char *path, err_t *err)
 {
--- a/fakes/load-plan.c
+++ b/fakes/load-plan.c
@@ -4,8 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What is asked when: Poisson arrivals; workspaces and publishers by Zipf's
- * law; threads that live for a while; one publisher that may turn hot. */
+/* Plans the chats of a load: Poisson arrivals, Zipf distributions of
+ * workspaces and publishers, threads with a limited lifetime, and optionally
+ * one publisher that becomes hot. */
 
 #define PUBLISHERS_MAX 256
 
@@ -13,21 +14,22 @@
     load_opts_t opts;
     rng_t rng;
     double at_s;
-    double workspace_sums[LOAD_WORKSPACES_MAX];
-    double publisher_sums[PUBLISHERS_MAX];
+    double workspace_weight_sums[LOAD_WORKSPACES_MAX];
+    double publisher_weight_sums[PUBLISHERS_MAX];
 };
 
 static void
-fill_sums(double *sums, unsigned count, double zipf, double first_factor)
+fill_cumulative_weights(double *cumulative, unsigned count, double zipf,
+                        double first_factor)
 {
     double sum = 0;
     for (unsigned i = 0; i < count; i++) {
         sum += pow(i + 1.0, -zipf) * (i == 0 ? first_factor : 1.0);
-        sums[i] = sum;
+        cumulative[i] = sum;
     }
 }
 
-/* Plan a load; equal options give equal plans. */
+/* Create a plan.  It is deterministic: equal options give equal plans. */
 load_plan_t *
 load_plan_new(const load_opts_t *opts)
 {
@@ -40,9 +42,10 @@
     if (plan->opts.publishers > PUBLISHERS_MAX) {
         plan->opts.publishers = PUBLISHERS_MAX;
     }
-    fill_sums(plan->workspace_sums, plan->opts.workspaces, opts->zipf,
-              opts->flood_factor);
-    fill_sums(plan->publisher_sums, plan->opts.publishers, opts->zipf, 1);
+    fill_cumulative_weights(plan->workspace_weight_sums, plan->opts.workspaces,
+                            opts->zipf, opts->flood_factor);
+    fill_cumulative_weights(plan->publisher_weight_sums, plan->opts.publishers,
+                            opts->zipf, 1);
     return plan;
 }
 
@@ -53,11 +56,11 @@
 }
 
 static unsigned
-draw(rng_t *rng, const double *sums, unsigned count)
+draw_index(rng_t *rng, const double *cumulative, unsigned count)
 {
-    double at = rng_unit(rng) * sums[count - 1];
+    double target = rng_unit(rng) * cumulative[count - 1];
     unsigned i = 0;
-    while (i + 1 < count && sums[i] < at) {
+    while (i + 1 < count && cumulative[i] < target) {
         i++;
     }
     return i;
@@ -71,35 +74,37 @@
     return opts->rate * (burst ? opts->burst_factor : 1.0);
 }
 
-/* The next chat; false at the end of the plan. */
+/* Produce the next chat; false at the end of the plan. */
 bool
-load_plan_next(load_plan_t *plan, load_ask_t *ask)
+load_plan_next(load_plan_t *plan, load_chat_t *chat)
 {
     const load_opts_t *opts = &plan->opts;
     plan->at_s += -log(1.0 - rng_unit(&plan->rng)) / rate_at(opts, plan->at_s);
     if (plan->at_s >= opts->seconds) {
         return false;
     }
-    ask->at_s = plan->at_s;
-    ask->workspace = draw(&plan->rng, plan->workspace_sums, opts->workspaces);
-    ask->publisher = draw(&plan->rng, plan->publisher_sums, opts->publishers);
-    double dice = rng_unit(&plan->rng);
+    chat->due_s = plan->at_s;
+    chat->workspace =
+        draw_index(&plan->rng, plan->workspace_weight_sums, opts->workspaces);
+    chat->publisher =
+        draw_index(&plan->rng, plan->publisher_weight_sums, opts->publishers);
+    double hot_draw = rng_unit(&plan->rng);
     if (opts->hot_at_s > 0 && plan->at_s >= opts->hot_at_s &&
-        dice < opts->hot_share) {
-        ask->workspace = opts->workspaces - 1;
-        ask->publisher = opts->publishers - 1;
+        hot_draw < opts->hot_share) {
+        chat->workspace = opts->workspaces - 1;
+        chat->publisher = opts->publishers - 1;
     }
-    unsigned era = opts->thread_life_s > 0
-                       ? (unsigned)(plan->at_s / opts->thread_life_s)
-                       : 0;
-    ask->thread =
-        (unsigned)rng_below(&plan->rng, opts->threads) + era * opts->threads;
-    ask->comment = rng_next(&plan->rng);
+    unsigned thread_period = opts->thread_life_s > 0
+                                 ? (unsigned)(plan->at_s / opts->thread_life_s)
+                                 : 0;
+    chat->thread = (unsigned)rng_below(&plan->rng, opts->live_threads) +
+                   thread_period * opts->live_threads;
+    chat->comment_seed = rng_next(&plan->rng);
     return true;
 }
 
 static json_t *
-message(const char *role, uint64_t seed, unsigned tokens)
+random_message(const char *role, uint64_t seed, unsigned tokens)
 {
     static const char letters[] = "etaoin shrdlu cm";
     rng_t rng = {seed};
@@ -116,27 +121,29 @@
 }
 
 static uint64_t
-mix(uint64_t seed, uint64_t value)
+derive_seed(uint64_t seed, uint64_t value)
 {
     rng_t rng = {seed ^ (value * 0x9e3779b97f4a7c15ULL)};
     return rng_next(&rng);
 }
 
-/* The four levels of a chat: house rules, guidance, thread, comment. */
+/* The four messages of a chat: the workspace's rules, the publisher's
+ * guidance, the thread, and the comment.  Chats share prefixes of these. */
 json_t *
-load_messages(const load_opts_t *opts, const load_ask_t *ask)
+load_plan_messages(const load_opts_t *opts, const load_chat_t *chat)
 {
-    uint64_t rules = mix(opts->seed, ask->workspace);
-    uint64_t guidance = mix(rules, ask->publisher + 1);
-    uint64_t thread = mix(guidance, ask->thread + 1);
+    uint64_t rules = derive_seed(opts->seed, chat->workspace);
+    uint64_t guidance = derive_seed(rules, chat->publisher + 1);
+    uint64_t thread = derive_seed(guidance, chat->thread + 1);
     json_t *messages = json_array();
-    (void)json_array_append_new(messages,
-                                message("system", rules, opts->tokens[0]));
-    (void)json_array_append_new(messages,
-                                message("system", guidance, opts->tokens[1]));
-    (void)json_array_append_new(messages,
-                                message("user", thread, opts->tokens[2]));
     (void)json_array_append_new(
-        messages, message("user", ask->comment, opts->tokens[3]));
+        messages, random_message("system", rules, opts->level_tokens[0]));
+    (void)json_array_append_new(
+        messages, random_message("system", guidance, opts->level_tokens[1]));
+    (void)json_array_append_new(
+        messages, random_message("user", thread, opts->level_tokens[2]));
+    (void)json_array_append_new(
+        messages,
+        random_message("user", chat->comment_seed, opts->level_tokens[3]));
     return messages;
 }
