--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -8,11 +8,12 @@
 #include <string.h>
 #include <time.h>
 
-/* Slopes for docs/CAPACITY.md: what one more of each thing costs a daemon in
- * memory and processor time.  In one process, without I/O. */
+/* Measures the figures in docs/CAPACITY.md: how a daemon's memory and
+ * processor time grow with the number of cache map entries, workspaces,
+ * backend servers, and so on.  Runs in one process, without I/O. */
 
 static double
-cpu_us(void)
+process_cpu_us(void)
 {
     struct timespec now;
     (void)clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
@@ -26,23 +27,23 @@
     for (size_t s = 0; s < 3; s++) {
         cache_map_t *map = cache_map_new(sizes[s]);
         rng_t rng = {1};
-        double begin = cpu_us();
+        double started_us = process_cpu_us();
         for (size_t i = 0; i < sizes[s]; i++) {
             (void)cache_map_note(map, (uint16_t)(i % 600), rng_next(&rng),
                                  512);
         }
-        double notes = cpu_us() - begin;
-        begin = cpu_us();
+        double insert_us = process_cpu_us() - started_us;
+        started_us = process_cpu_us();
         size_t known = 0;
         for (size_t i = 0; i < sizes[s]; i++) {
             known += cache_map_knows(map, rng_next(&rng));
         }
-        double looks = cpu_us() - begin;
+        double lookup_us = process_cpu_us() - started_us;
         (void)printf(
-            "cache map, %zu entries: %.0f bytes each, %.2f us a "
-            "note, %.2f us a look (%zu known)\n",
+            "cache map, %zu entries: %.0f bytes each, %.2f us per "
+            "insert, %.2f us per lookup (%zu known)\n",
             sizes[s], (double)cache_map_memory(map) / (double)sizes[s],
-            notes / (double)sizes[s], looks / (double)sizes[s], known);
+            insert_us / (double)sizes[s], lookup_us / (double)sizes[s], known);
         cache_map_free(map);
     }
 }
@@ -82,23 +83,23 @@
         CLEAN_JSON json_t *doc = config_doc(sizes[s][0], sizes[s][1]);
         CLEAN_TEXT char *text = json_dumps(doc, JSON_COMPACT);
         err_t err = {0};
-        double begin = cpu_us();
-        CLEAN_JSON json_t *back = json_loads(text, 0, NULL);
-        config_t *config = config_parse(back, &err);
-        double took = cpu_us() - begin;
+        double started_us = process_cpu_us();
+        CLEAN_JSON json_t *parsed = json_loads(text, 0, NULL);
+        config_t *config = config_parse(parsed, &err);
+        double elapsed_us = process_cpu_us() - started_us;
         (void)printf(
-            "configuration, %d workspaces and %d servers: %zu bytes, "
-            "%.1f ms to read and check\n",
-            sizes[s][0], sizes[s][1], strlen(text), took / 1000);
+            "configuration, %d workspaces and %d backend servers: %zu bytes, "
+            "%.1f ms to parse and validate\n",
+            sizes[s][0], sizes[s][1], strlen(text), elapsed_us / 1000);
         config_release(config);
     }
 }
 
 static void
-measure_place(void)
+measure_placement(void)
 {
     static const int sizes[] = {9, 60, 200};
-    static candidate_t all[256];
+    static candidate_t candidates[256];
     for (int s = 0; s < 3; s++) {
         CLEAN_JSON json_t *doc = config_doc(8, sizes[s]);
         err_t err = {0};
@@ -113,14 +114,14 @@
             .config = config, .view = view, .cache = cache, .dc = "dc-1"};
         place_ask_t ask = {.prefix = &prefix};
         const int rounds = 2000;
-        double begin = cpu_us();
+        double started_us = process_cpu_us();
         for (int i = 0; i < rounds; i++) {
             size_t count =
-                place_candidates(&scene, "m", &prefix, NULL, all, 256);
-            ask.turn += policy_find("cost")->choose(all, count, &ask);
+                place_candidates(&scene, "m", &prefix, NULL, candidates, 256);
+            ask.turn += policy_find("cost")->choose(candidates, count, &ask);
         }
-        (void)printf("placement among %d servers: %.1f us\n", sizes[s],
-                     (cpu_us() - begin) / rounds);
+        (void)printf("placement among %d backend servers: %.1f us\n", sizes[s],
+                     (process_cpu_us() - started_us) / rounds);
         config_release(config);
         view_free(view);
         cache_map_free(cache);
@@ -128,7 +129,7 @@
 }
 
 static void
-measure_prefix(void)
+measure_prefix_keys(void)
 {
     static const size_t sizes[] = {4096, 16384, 65536};
     for (int s = 0; s < 3; s++) {
@@ -137,17 +138,17 @@
         memset(text, 'x', sizes[s]);
         CLEAN_JSON json_t *messages =
             json_pack("[{s:s,s:s}]", "role", "user", "content", text);
-        double begin = cpu_us();
+        double started_us = process_cpu_us();
         for (int i = 0; i < 500; i++) {
             prefix_compute(&prefix, messages, "salt", "v1");
         }
         (void)printf("prefix keys of %zu bytes: %.1f us\n", sizes[s],
-                     (cpu_us() - begin) / 500);
+                     (process_cpu_us() - started_us) / 500);
     }
 }
 
 static void
-measure_events(void)
+measure_cache_events(void)
 {
     engine_cache_t *engine = engine_cache_new(4096);
     rng_t rng = {1};
@@ -157,24 +158,24 @@
     CLEAN_JSON json_t *events = engine_cache_events(engine, 0, 0, &rng);
     CLEAN_TEXT char *text = json_dumps(events, JSON_COMPACT);
     cache_map_t *cache = cache_map_new(65536);
-    double begin = cpu_us();
-    CLEAN_JSON json_t *back = json_loads(text, 0, NULL);
+    double started_us = process_cpu_us();
+    CLEAN_JSON json_t *parsed = json_loads(text, 0, NULL);
     size_t i;
     const json_t *event;
     size_t known = 0;
-    json_array_foreach (back, i, event) {
+    json_array_foreach (parsed, i, event) {
         uint64_t key = (uint64_t)json_integer_value(json_array_get(event, 2));
         known += cache_map_knows(cache, key);
     }
     (void)printf("cache events: %.2f us and %.0f bytes each (%zu known)\n",
-                 (cpu_us() - begin) / (double)i,
+                 (process_cpu_us() - started_us) / (double)i,
                  (double)strlen(text) / (double)i, known);
     cache_map_free(cache);
     engine_cache_free(engine);
 }
 
 static void
-measure_facts(void)
+measure_peer_facts(void)
 {
     static peer_datagram_t datagram;
     unsigned char data[PEER_DATAGRAM_MAX];
@@ -189,17 +190,17 @@
         fact->load.waiting_tokens = 12345;
         fact->load.prefill_rate = 20000;
     }
-    size_t loads = peer_encode(&datagram, secret, data);
+    size_t load_bytes = peer_encode(&datagram, secret, data);
     for (size_t i = 0; i < 50; i++) {
         datagram.facts[i].is_load = false;
         datagram.facts[i].key = 0xfedcba9876543210ULL;
         datagram.facts[i].tokens = 2000;
     }
-    size_t levels = peer_encode(&datagram, secret, data);
+    size_t level_bytes = peer_encode(&datagram, secret, data);
     (void)printf(
-        "facts between daemons: %.0f bytes a load report, %.0f bytes "
-        "a level\n",
-        (double)loads / 50, (double)levels / 50);
+        "facts between daemons: %.0f bytes per load report, %.0f bytes "
+        "per level\n",
+        (double)load_bytes / 50, (double)level_bytes / 50);
 }
 
 static void
@@ -209,9 +210,9 @@
     json_t *head = NULL;
     int64_t version = 0;
     size_t puts = 0;
-    size_t bytes = 0;
+    size_t bytes_written = 0;
     const int rounds = 200;
-    double begin = cpu_us();
+    double started_us = process_cpu_us();
     for (int i = 0; i < rounds; i++) {
         char key[CLAIM_KEY_LEN + 1];
         (void)snprintf(key, sizeof(key), "%032d", i);
@@ -220,36 +221,36 @@
         op->deadline_ms = 1 << 30;
         claim_shard_submit(shard, op);
         for (;;) {
-            claim_act_t act = claim_shard_next(shard, i, 1);
-            if (act.kind == CLAIM_ACT_NONE) {
+            claim_act_t action = claim_shard_next(shard, i, 1);
+            if (action.kind == CLAIM_ACT_NONE) {
                 break;
             }
             store_reply_t reply = {
                 .result = STORE_OK, .version = version, .value = head};
-            if (act.kind == CLAIM_ACT_PUT) {
-                CLEAN_TEXT char *text = json_dumps(act.value, JSON_COMPACT);
-                bytes += strlen(text);
+            if (action.kind == CLAIM_ACT_PUT) {
+                CLEAN_TEXT char *text = json_dumps(action.value, JSON_COMPACT);
+                bytes_written += strlen(text);
                 puts++;
                 json_decref(head);
-                head = json_incref(act.value);
+                head = json_incref(action.value);
                 reply.version = ++version;
-                json_decref(act.value);
+                json_decref(action.value);
             }
             else if (head == NULL) {
                 reply.result = STORE_ABSENT;
             }
             claim_shard_reply(shard, &reply, i);
         }
-        claim_op_t *ended;
-        while ((ended = claim_shard_take(shard)) != NULL) {
-            claim_op_free(ended);
+        claim_op_t *completed;
+        while ((completed = claim_shard_take(shard)) != NULL) {
+            claim_op_free(completed);
         }
     }
     (void)printf(
-        "claims: %.0f us and %.0f bytes written a claim (head grows "
+        "claims: %.0f us and %.0f bytes written per claim (head grows "
         "to %d entries, %zu puts)\n",
-        (cpu_us() - begin) / rounds, (double)bytes / (double)puts, rounds,
-        puts);
+        (process_cpu_us() - started_us) / rounds,
+        (double)bytes_written / (double)puts, rounds, puts);
     claim_shard_free(shard);
     json_decref(head);
 }
@@ -262,12 +263,13 @@
     }
     measure_cache_map();
     measure_config();
-    measure_prefix();
-    measure_place();
-    measure_events();
-    measure_facts();
+    measure_prefix_keys();
+    measure_placement();
+    measure_cache_events();
+    measure_peer_facts();
     measure_claims();
-    (void)printf("fixed tables: view %zu bytes a server, member %zu bytes\n",
-                 sizeof(backend_state_t), sizeof(member_t));
+    (void)printf(
+        "fixed tables: %zu bytes per backend server, %zu bytes per member\n",
+        sizeof(backend_state_t), sizeof(member_t));
     return EXIT_SUCCESS;
 }
