--- a/bench/experiment.sh
+++ b/bench/experiment.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# One workload against several policies, each in a fresh deployment of the same
-# size: nine replicas, four daemons, three data centres, eight workspaces.
-#   bench/experiment.sh FILE [POLICY…]      writes out/experiment/*.json
-# ENGINE_ARGS, RATE and EXTRA ("-o key=value …") change replicas and load.
+# Runs one workload against several placement policies, each in a fresh deployment
+# of the same size: nine replicas, four daemons, three data centres, eight
+# workspaces.
+#   bench/experiment.sh FILE [POLICY…]      writes out/experiment/NAME/POLICY.json
+# ENGINE_ARGS sets the options of the replicas; RATE and EXTRA ("-o key=value …")
+# override options of the load.
 cd "$(dirname "$0")/.." || exit 1
 FILE=$1
 shift
--- a/bench/lib.sh
+++ b/bench/lib.sh
@@ -1,9 +1,9 @@
-# Shell functions that start a whole deployment on loopback and stop it again.
-# Sourced by the demo, the process tests and the measurements.
+# Shell functions that start and stop a complete deployment on loopback.
+# Sourced by the demo, the process tests and the benchmarks.
 set -u
 BUILD=${BUILD:-build}
 OUT=${OUT:-out}
-BASE=${BASE:-0} # added to every port, so that runs do not meet
+BASE=${BASE:-0} # added to every port, so that parallel runs do not collide
 SECRET=000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f
 export CELERYSPOOL_KEY=operator-key
 STORE=127.0.0.1:$((9001 + BASE))
@@ -16,7 +16,7 @@
 daemon_addr() { echo "127.0.0.1:$((8100 + BASE + $1))"; }
 peer_addr() { echo "127.0.0.1:$((8200 + BASE + $1))"; }
 
-# wait_for URL: until it answers 200, at most 10 s
+# wait_for URL: wait until it answers 200, at most 500 tries
 wait_for() {
     local i
     for ((i = 0; i < 500; i++)); do
@@ -27,7 +27,7 @@
     return 1
 }
 
-# run NAME COMMAND…: start a process and keep its number
+# run NAME COMMAND…: start a background process and record its PID
 run() {
     local name=$1
     shift
@@ -38,7 +38,7 @@
 start_store() { run store "$BUILD/fake-store" --listen "$STORE" "$@"; wait_for "http://$STORE/truth"; }
 start_service() { run service "$BUILD/fake-service" --listen "$SERVICE"; wait_for "http://$SERVICE/truth"; }
 
-# start_engines COUNT [OPTION…]
+# start_engines COUNT [OPTION…]: start fake engines and wait until they answer
 start_engines() {
     local count=$1 i
     shift
@@ -71,7 +71,7 @@
 EOF
 }
 
-# start_daemon I COUNT
+# start_daemon I COUNT: start router-I, one of COUNT daemons
 start_daemon() {
     daemon_settings "$1" "$2" >"$OUT/router-$1.ini"
     run "router-$1" "$BUILD/celeryspoold" --settings "$OUT/router-$1.ini"
@@ -85,7 +85,7 @@
 
 ctl() { "$BUILD/celeryspoolctl" --addr "${CTL:-$(daemon_addr 1)}" "$@"; }
 
-# declare_all ENGINES MODEL [WORKSPACES]: the configuration of a deployment
+# declare_all ENGINES MODEL [WORKSPACES]: write the configuration of a deployment
 declare_all() {
     local engines=$1 model=$2 workspaces=${3:-8} i
     {
@@ -100,14 +100,15 @@
     } | ctl >"$OUT/declare.log" || { cat "$OUT/declare.log"; return 1; }
 }
 
-# wait_generation COUNT: until all daemons have the first one's generation
+# wait_generation COUNT: wait until all daemons have adopted the first one's
+# configuration generation
 wait_generation() {
-    local i tries want have
-    want=$(generation 1)
+    local i tries expected actual
+    expected=$(generation 1)
     for ((i = 1; i <= $1; i++)); do
         for ((tries = 0; tries < 400; tries++)); do
-            have=$(generation "$i")
-            [ -n "$have" ] && [ "$have" -ge "$want" ] && break
+            actual=$(generation "$i")
+            [ -n "$actual" ] && [ "$actual" -ge "$expected" ] && break
             sleep 0.02
         done
         [ "$tries" -lt 400 ] || return 1
@@ -116,10 +117,10 @@
 
 generation() { curl -s "http://$(daemon_addr "$1")/metrics" | awk '$1=="celeryspool_config_generation"{print $2}'; }
 
-# control ADDR JSON: set a stand-in's knobs or faults
+# control ADDR JSON: change a fake server's parameters or inject faults
 control() { curl -s -o /dev/null -X POST -d "$2" "http://$1/control"; }
 
-# stop NAME [SIGNAL]: end one process and give its exit status
+# stop NAME [SIGNAL]: stop a process and return its exit status
 stop() {
     local pid=${PIDS[$1]:-}
     [ -n "$pid" ] || return 0
@@ -130,6 +131,7 @@
     return $status
 }
 
+# stop_all: resume paused processes, then stop daemons before the servers they use
 stop_all() {
     local name
     for name in "${!PIDS[@]}"; do kill -CONT "${PIDS[$name]}" 2>/dev/null; case $name in router-*) kill -TERM "${PIDS[$name]}" 2>/dev/null ;; esac; done
@@ -137,13 +139,14 @@
     for name in "${!PIDS[@]}"; do stop "$name"; done
 }
 
+# targets COUNT: the addresses of the daemons, separated by commas
 targets() {
     local i list=
     for ((i = 1; i <= $1; i++)); do list="$list,$(daemon_addr "$i")"; done
     echo "${list#,}"
 }
 
-# get FILE a.b.c: a value of a JSON file
+# get FILE a.b.c: print a value of a JSON file
 get() { "$BUILD/fake-check" get "$1" "$2"; }
 truth() { curl -s "http://$1/truth"; }
 load() { "$BUILD/fake-load" "$@"; }
--- a/bench/plot.sh
+++ b/bench/plot.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Draws the reports of an experiment: the 99th percentile of the time to first
-# token by second, a line a policy.   bench/plot.sh out/experiment/blue-mahoe
+# Plots the reports of an experiment: the 99th percentile of the time to first
+# token over time, one line per policy.
+#   bench/plot.sh out/experiment/blue-mahoe
 cd "$(dirname "$0")/.." || exit 1
-DIR=${1:?a folder of reports is needed}
+DIR=${1:?usage: bench/plot.sh REPORT_DIRECTORY}
 BUILD=${BUILD:-build}
 curves=
 for report in "$DIR"/*.json; do
@@ -17,7 +18,7 @@
 set terminal pngcairo size 900,500
 set output '$DIR/ttft.png'
 set logscale y
-set xlabel 'second'
+set xlabel 'time, s'
 set ylabel 'p99 of the time to first token, ms'
 set key top left
 plot ${curves#,}
