--- a/bench/lib.sh
+++ b/bench/lib.sh
@@ -16,7 +16,7 @@
 daemon_addr() { echo "127.0.0.1:$((8100 + BASE + $1))"; }
 peer_addr() { echo "127.0.0.1:$((8200 + BASE + $1))"; }
 
-# wait_for URL: wait until it answers 200, at most 500 tries
+# wait_for URL: wait until it answers 200; fails after 500 tries
 wait_for() {
     local i
     for ((i = 0; i < 500; i++)); do
--- a/models/config.pml
+++ b/models/config.pml
@@ -1,9 +1,9 @@
-/* Acceptance and adoption of configurations: operators' changes by
- * conditional update with an id that is looked for when an answer is lost;
- * daemons that adopt from the store or from each other, late readings
- * included.  Rules: a generation never falls in a daemon; two different
- * changes never have the same generation; what its author was told accepted
- * is in the store's history. With GUARD=0 daemons adopt whatever they read. */
+/* Acceptance and adoption of configurations.  Operators submit changes by
+ * conditional update, each with an id by which the change is found again if
+ * the answer is lost.  Daemons adopt configurations from the store or from each
+ * other, stale reads included.  Rules: a daemon's generation never decreases;
+ * two different changes never get the same generation; an accepted change is in
+ * the store's history.  With GUARD=0 daemons adopt whatever they read. */
 
 #ifndef GUARD
 #define GUARD 1
@@ -12,58 +12,58 @@
 #define DAEMONS 2
 
 byte generation = 0;
-bool contains[AUTHORS];  /* whose changes the stored document holds */
-byte made[AUTHORS];      /* the generation that each change made */
-byte in_force[DAEMONS];
+bool contains[AUTHORS];    /* the authors whose change is in the stored document */
+byte accepted_as[AUTHORS]; /* the generation of each accepted change */
+byte adopted[DAEMONS];
 
 proctype author(byte a) {
-    byte seen;
-    byte tries = 0;
+    byte read_generation;
+    byte attempts = 0;
     do
-    :: atomic { seen = generation;
+    :: atomic { read_generation = generation;
         if
-        :: contains[a] -> break /* accepted: found by its id */
+        :: contains[a] -> break /* accepted: the change was found by its id */
         :: else -> skip
         fi
        }
        if
-       :: tries < 3 ->
-            tries++;
+       :: attempts < 3 ->
+            attempts++;
             atomic {
                 if
-                :: generation == seen && !contains[a] ->
+                :: generation == read_generation && !contains[a] ->
                     generation++;
                     contains[a] = true;
-                    made[a] = generation
+                    accepted_as[a] = generation
                 :: else -> skip
                 fi
             }
-            /* the answer may be lost; it reads back before it goes on */
+            /* the answer may be lost, so the author reads again first */
        :: break
        fi
     od;
-    assert(!contains[a] || made[a] <= generation);
-    assert(!(contains[0] && contains[1]) || made[0] != made[1])
+    assert(!contains[a] || accepted_as[a] <= generation);
+    assert(!(contains[0] && contains[1]) || accepted_as[0] != accepted_as[1])
 }
 
 proctype daemon(byte d) {
-    byte read;
+    byte received;
     byte steps = 0;
-    byte before;
+    byte previous;
     do
     :: steps < 4 ->
         steps++;
         if
-        :: read = generation       /* from the store */
-        :: read = in_force[1 - d]  /* from a peer */
+        :: received = generation       /* from the store */
+        :: received = adopted[1 - d]   /* from a peer */
         fi;
-        /* a pause of any length: the reading grows old */
-        before = in_force[d];
+        /* a pause of any length: what was read may be stale by now */
+        previous = adopted[d];
         if
-        :: GUARD == 1 && read <= in_force[d] -> skip
-        :: else -> in_force[d] = read
+        :: GUARD == 1 && received <= adopted[d] -> skip
+        :: else -> adopted[d] = received
         fi;
-        assert(in_force[d] >= before)
+        assert(adopted[d] >= previous)
     :: else -> break
     od
 }
--- a/models/lease.pml
+++ b/models/lease.pml
@@ -1,158 +1,165 @@
-/* The lease on orders: one object of the store, written under the condition
- * that its revision is the one known.  Two hosts; a write may take effect and
- * its answer be lost, or take effect later if its condition still holds; a
- * host may be paused at any point and then goes on with what it last read off
- * the clock.  Reads may be behind.  Time is a step counter: the span is SPAN steps, the holder acts
- * in the first half after its good write was sent, a successor waits until it
- * has seen the object unchanged for more than the span.
+/* The lease for sending orders: one object in the store, written on condition
+ * that its revision is the one the host knows.  There are two hosts.  A write
+ * can take effect while its answer is lost, or take effect later if its
+ * condition still holds.  A host can be paused at any point and then
+ * continues with what it read last.  Reads can be stale.  Time is a step counter
+ * and the lease term is LEASE_STEPS: the holder sends orders only in the first
+ * half of the term, counted from when it sent its successful write, and a
+ * successor waits until it has seen the object unchanged for longer than the
+ * term.
  *
- * Rule: orders that reach a server come under numbers that only grow, and
- * never from two hosts within the second half of a span.
+ * Rule: the fencing tokens of the orders that reach a server never decrease,
+ * and orders from two hosts are at least half a term apart and under different
+ * tokens.
  *
- * GUARD=0: the holder acts over the whole span and the successor waits for no
- * longer than half of it.  COUNTED=0: a host takes any object that names it
- * under the number that it wanted for its last write.  Either breaks the rule.
- */
+ * GUARD=0: the holder sends orders during the whole term and the successor waits
+ * for only half of it.  COUNT_CHECKED=0: a host takes the lease as granted when
+ * the object names it under the token of its last write, without comparing the
+ * write count.  Either violates the rule. */
 
 #ifndef GUARD
 #define GUARD 1
 #endif
-#ifndef COUNTED
-#define COUNTED 1
+#ifndef COUNT_CHECKED
+#define COUNT_CHECKED 1
 #endif
 
-#define SPAN 4
+#define LEASE_STEPS 4
 #if GUARD
-#define ACT (SPAN / 2)
-#define WAIT SPAN
+#define ACT_STEPS (LEASE_STEPS / 2)
+#define WAIT_STEPS LEASE_STEPS
 #else
-#define ACT SPAN
-#define WAIT (SPAN / 2)
+#define ACT_STEPS LEASE_STEPS
+#define WAIT_STEPS (LEASE_STEPS / 2)
 #endif
-#define END 7
-#define NOBODY 2
-#define WRITES_MAX 2 /* of a host */
+#define TIME_MAX 7
+#define NO_HOST 2
+#define WRITES_MAX 2 /* per host */
 
 byte now = 0;
 
-/* The object. */
+/* The lease object. */
 byte revision = 0;
-byte holder = NOBODY;
+byte holder = NO_HOST;
 byte fence = 0;
-byte count = 0; /* the holder's writes, as it counts them */
+byte holder_writes = 0; /* the number of writes that the holder had sent */
 
-/* A write of each host that is still under way: it may land until the
- * revision has moved on. */
-bool flying[2] = false;
-byte over[2];
-byte carries[2];
-byte counts[2];
+/* Each host's write in flight: it can take effect until the revision changes. */
+bool in_flight[2] = false;
+byte expected_revision[2];
+byte written_fence[2];
+byte written_count[2];
 
-/* What a server saw last. */
-byte acted_by = NOBODY;
-byte acted_fence = 0;
-byte acted_at = 0;
+/* The last order that reached the server. */
+byte last_sender = NO_HOST;
+byte last_fence = 0;
+byte last_sent_at = 0;
 
-inline land(me) {
+inline apply_write(self) {
     if
-    :: flying[me] && over[me] == revision ->
+    :: in_flight[self] && expected_revision[self] == revision ->
         revision++;
-        holder = me;
-        fence = carries[me];
-        count = counts[me]
+        holder = self;
+        fence = written_fence[self];
+        holder_writes = written_count[self]
     :: else -> skip
     fi;
-    flying[me] = false
+    in_flight[self] = false
 }
 
-inline act(me, with) {
-    assert(with >= acted_fence);
-    assert(acted_by == NOBODY || acted_by == me || with > acted_fence);
-    assert(acted_by == NOBODY || acted_by == me ||
-           now - acted_at >= SPAN / 2);
-    acted_by = me;
-    acted_fence = with;
-    acted_at = now
+inline send_order(self, number) {
+    assert(number >= last_fence);
+    assert(last_sender == NO_HOST || last_sender == self || number > last_fence);
+    assert(last_sender == NO_HOST || last_sender == self ||
+           now - last_sent_at >= LEASE_STEPS / 2);
+    last_sender = self;
+    last_fence = number;
+    last_sent_at = now
 }
 
-/* Late writes: the store carries one out whenever it likes. */
-proctype late() {
+/* Delayed writes: the store can apply a write at any later time. */
+proctype delayed_writes() {
     do
-    :: atomic { flying[0] && now < END -> land(0) }
-    :: atomic { flying[1] && now < END -> land(1) }
-    :: now >= END -> break
+    :: atomic { in_flight[0] && now < TIME_MAX -> apply_write(0) }
+    :: atomic { in_flight[1] && now < TIME_MAX -> apply_write(1) }
+    :: now >= TIME_MAX -> break
     od
 }
 
 proctype clock() {
     do
-    :: atomic { now < END -> now++ }
-    :: now >= END -> break
+    :: atomic { now < TIME_MAX -> now++ }
+    :: now >= TIME_MAX -> break
     od
 }
 
-proctype host(byte me) {
-    byte known = 255;
-    byte seen_holder = NOBODY;
-    byte seen_fence = 0;
-    byte seen_at = 0;
-    byte asked_at = 0;
-    byte good_at = 0;
-    bool good = false;
-    bool pending = false;
-    byte wanted = 0;
+proctype host(byte self) {
+    byte known_revision = 255;
+    byte known_holder = NO_HOST;
+    byte known_fence = 0;
+    byte changed_at = 0;
+    byte write_sent_at = 0;
+    byte lease_started_at = 0;
+    bool has_lease = false;
+    bool awaiting_answer = false;
+    byte wanted_fence = 0;
     byte writes = 0;
     do
-    :: now >= END -> break
-    /* A read that is behind: it tells nothing new. */
-    :: atomic { now < END && pending && known != 255 -> pending = false }
-    /* Read the object; a write without an answer shows in it or not. */
+    :: now >= TIME_MAX -> break
+    /* A stale read: it returns nothing new. */
     :: atomic {
-           now < END ->
+           now < TIME_MAX && awaiting_answer && known_revision != 255 ->
+           awaiting_answer = false
+       }
+    /* Read the object; a write without an answer may or may not show in it. */
+    :: atomic {
+           now < TIME_MAX ->
            if
-           :: revision != known ->
+           :: revision != known_revision ->
                if
-               :: holder == me && fence == wanted && wanted > 0 &&
-                      (COUNTED == 0 || count == writes) ->
-                   good = true;
-                   good_at = asked_at
+               :: holder == self && fence == wanted_fence && wanted_fence > 0 &&
+                      (COUNT_CHECKED == 0 || holder_writes == writes) ->
+                   has_lease = true;
+                   lease_started_at = write_sent_at
                :: else -> skip
                fi;
-               known = revision;
-               seen_holder = holder;
-               seen_fence = fence;
-               seen_at = now
+               known_revision = revision;
+               known_holder = holder;
+               known_fence = fence;
+               changed_at = now
            :: else -> skip
            fi;
-           pending = false
+           awaiting_answer = false
        }
-    /* Take it, or renew it, and lose the answer or not. */
+    /* Take or renew the lease; the answer may be lost. */
     :: atomic {
-           now < END && !pending && !flying[me] && known != 255 &&
-               writes < WRITES_MAX &&
-               (seen_holder == NOBODY || seen_holder == me ||
-                now - seen_at > WAIT) ->
+           now < TIME_MAX && !awaiting_answer && !in_flight[self] &&
+               known_revision != 255 && writes < WRITES_MAX &&
+               (known_holder == NO_HOST || known_holder == self ||
+                now - changed_at > WAIT_STEPS) ->
            if
-           :: good && seen_holder == me && now - good_at < SPAN ->
-               wanted = seen_fence
-           :: else -> wanted = seen_fence + 1
+           :: has_lease && known_holder == self &&
+                  now - lease_started_at < LEASE_STEPS ->
+               wanted_fence = known_fence
+           :: else -> wanted_fence = known_fence + 1
            fi;
-           asked_at = now;
-           over[me] = known;
-           carries[me] = wanted;
+           write_sent_at = now;
+           expected_revision[self] = known_revision;
+           written_fence[self] = wanted_fence;
            writes++;
-           counts[me] = writes;
-           flying[me] = true;
-           pending = true
+           written_count[self] = writes;
+           in_flight[self] = true;
+           awaiting_answer = true
        }
-    /* Act, if the lease still is this host's by its own clock. */
+    /* Send an order if the host still has the lease by its own clock. */
     :: atomic {
-           now < END && good && seen_holder == me && now - good_at < ACT ->
-           act(me, seen_fence)
+           now < TIME_MAX && has_lease && known_holder == self &&
+               now - lease_started_at < ACT_STEPS ->
+           send_order(self, known_fence)
        }
     od
 }
 
 init {
-    atomic { run clock(); run late(); run host(0); run host(1) }
+    atomic { run clock(); run delayed_writes(); run host(0); run host(1) }
 }
--- a/models/order.pml
+++ b/models/order.pml
@@ -1,8 +1,9 @@
-/* Orders to load weights, to a server that honours fencing (FENCED=1) or does
- * not (FENCED=0).  Two issuers hold duties at once; each may be paused
- * between reading the wanted version and sending.  Rule for both: when all
- * is quiet and somebody compares once more, the weights are the wanted ones.
- * Rule for the fenced server only: its weights never go back. */
+/* Orders to load weights, sent to a backend server that honours fencing
+ * (FENCED=1) or does not (FENCED=0).  Two issuers are active at the same time;
+ * each can be paused between reading the wanted version and sending the order.
+ * Rule for both servers: once operator and issuers have finished and the state
+ * is reconciled once more, the loaded version is the wanted one.  Rule for the
+ * fenced server only: its weights version never decreases. */
 
 #ifndef FENCED
 #define FENCED 1
@@ -11,44 +12,44 @@
 byte wanted = 1;
 byte loaded = 0;
 byte fence = 0;
-byte done = 0;
+byte finished = 0;
 
-inline order(v) {
+inline apply_order(version) {
     if
-    :: FENCED == 1 && v < fence -> skip
+    :: FENCED == 1 && version < fence -> skip
     :: else ->
-        assert(FENCED == 0 || v >= loaded);
-        fence = v;
-        loaded = v
+        assert(FENCED == 0 || version >= loaded);
+        fence = version;
+        loaded = version
     fi
 }
 
 proctype operator() {
     wanted = 2;
     wanted = 3;
-    done++
+    finished++
 }
 
 proctype issuer() {
-    byte v;
+    byte version;
     byte steps = 0;
     do
     :: steps < 3 ->
         steps++;
-        v = wanted; /* then a pause of any length */
-        atomic { order(v) }
+        version = wanted; /* a pause of any length may follow */
+        atomic { apply_order(version) }
     :: break
     od;
-    done++
+    finished++
 }
 
-/* Level-triggered: whoever has the duty compares and orders until they
- * agree. */
-proctype last_comparer() {
-    done == 3;
+/* Reconciliation is level-triggered: the responsible host compares the loaded
+ * with the wanted version and sends orders until they are equal. */
+proctype final_reconciler() {
+    finished == 3;
     atomic {
         if
-        :: loaded != wanted -> order(wanted)
+        :: loaded != wanted -> apply_order(wanted)
         :: else -> skip
         fi
     };
@@ -56,5 +57,5 @@
 }
 
 init {
-    atomic { run operator(); run issuer(); run issuer(); run last_comparer() }
+    atomic { run operator(); run issuer(); run issuer(); run final_reconciler() }
 }
