--- a/soak/deployment.c
+++ b/soak/deployment.c
@@ -11,40 +11,40 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* The processes of a deployment, the links between them, and what the
- * platform's operator changes. */
+/* The processes of a deployment, the links between them, and the changes that
+ * the platform's operator makes. */
 
-/* Ports behind the first one. */
+/* Offsets from the first port. */
 #define PORT_STORE 0
-#define PORT_SERVER 20 /* where servers listen */
-#define PORT_LINK 40   /* where others reach them */
-#define PORT_RELAY                                                           \
-    100                 /* four for each: callers, readiness, peers, metrics \
-                         */
-#define PORT_FRONT 200  /* where callers reach relays */
-#define PORT_UPLINK 220 /* where relays reach the store */
-/* A daemon that ended is started again after this, ms. */
-#define RESTART_MS 300
-/* A planned stop must be over within this, ms: the settings' stop_s. */
-#define STOP_MS 8000
+#define PORT_SERVER 20      /* servers listen here */
+#define PORT_SERVER_LINK 40 /* relays reach servers here */
+#define PORT_RELAY 100 /* 4 per relay: callers, readiness, peers, metrics */
+#define PORT_CALLER_LINK 200 /* callers reach relays here */
+#define PORT_STORE_LINK 220  /* relays reach the store here */
+/* A daemon that exited is restarted after this time. */
+#define RESTART_DELAY_MS 300
+/* A graceful shutdown must end within this time: stop_s of the settings. */
+#define STOP_TIMEOUT_MS 8000
 
 void
 soak_addr(const soak_t *soak, int offset, char out[CS_ADDR_MAX])
 {
-    (void)snprintf(out, CS_ADDR_MAX, "127.0.0.1:%d", soak->port + offset);
+    (void)snprintf(out, CS_ADDR_MAX, "127.0.0.1:%d",
+                   soak->first_port + offset);
 }
 
-/* Tell a broken promise. */
+/* Reports and counts a violated guarantee. */
 void
-soak_broken(soak_t *soak, const char *promise, const char *fmt, ...)
+soak_report_violation(soak_t *soak, const char *guarantee, const char *fmt,
+                      ...)
 {
     char text[512];
     va_list args;
     va_start(args, fmt);
     (void)vsnprintf(text, sizeof(text), fmt, args);
     va_end(args);
-    (void)printf("  BROKEN %s: %s\n", promise, text);
-    soak->broken++;
+    (void)printf("  VIOLATED %s: %s\n", guarantee, text);
+    soak->violations++;
 }
 
 static void
@@ -54,9 +54,9 @@
     (void)result;
 }
 
-/* Tell the stand-in something, by its own address. */
+/* Sends a command to the stand-in of the platform, without a proxy. */
 void
-soak_admin(soak_t *soak, const char *path, const char *body)
+soak_post_admin(soak_t *soak, const char *path, const char *body)
 {
     CLEAN_BUF buf_t call = {0};
     buf_fmt(&call,
@@ -73,7 +73,7 @@
 
 /* ---- processes ---- */
 
-/* Start a program; its output goes to a file. */
+/* Starts a program with its output appended to its log file. */
 int
 process_start(process_t *process)
 {
@@ -93,11 +93,11 @@
     process->stopping = false;
     process->paused = false;
     process->starts++;
-    process->began_ms = time_mono_ms();
+    process->state_changed_ms = time_mono_ms();
     return 0;
 }
 
-/* Only to what this soak has started. */
+/* Signals only a process that this soak has started. */
 void
 process_signal(const process_t *process, int number)
 {
@@ -107,7 +107,7 @@
 }
 
 static char *
-word(const char *fmt, ...)
+format_string(const char *fmt, ...)
 {
     char text[512];
     va_list args;
@@ -118,7 +118,7 @@
 }
 
 static void
-process_name(soak_t *soak, process_t *process, const char *name)
+process_set_name(soak_t *soak, process_t *process, const char *name)
 {
     str_copy(process->name, sizeof(process->name), name);
     (void)snprintf(process->log, sizeof(process->log), "%s/%s.log", soak->dir,
@@ -129,27 +129,27 @@
 open_server(soak_t *soak, size_t i, bool engine, err_t *err)
 {
     soak_server_t *server = &soak->servers[i];
-    char own[CS_ADDR_MAX];
-    char link[CS_ADDR_MAX];
-    soak_addr(soak, PORT_SERVER + (int)i, own);
-    soak_addr(soak, PORT_LINK + (int)i, link);
-    server->engine = engine;
+    char listen_addr[CS_ADDR_MAX];
+    char link_addr[CS_ADDR_MAX];
+    soak_addr(soak, PORT_SERVER + (int)i, listen_addr);
+    soak_addr(soak, PORT_SERVER_LINK + (int)i, link_addr);
+    server->is_engine = engine;
     (void)snprintf(server->id, sizeof(server->id), "%c%zu", engine ? 'e' : 'p',
                    i + 1);
     char **argv = soak->platform.argv;
-    size_t at = 5 + 2 * i;
-    argv[at] = word("--server");
-    argv[at + 1] =
-        word("%s,%s,%s,dc-%c,%s,%s", server->id, engine ? "llm" : "desk", own,
-             "ab"[i % 2], engine ? "engine" : "plain", link);
-    server->link = proxy_open(soak->base, link, own, err);
+    size_t arg = 5 + 2 * i;
+    argv[arg] = format_string("--server");
+    argv[arg + 1] = format_string(
+        "%s,%s,%s,dc-%c,%s,%s", server->id, engine ? "llm" : "desk",
+        listen_addr, "ab"[i % 2], engine ? "engine" : "plain", link_addr);
+    server->link = proxy_open(soak->base, link_addr, listen_addr, err);
     return server->link != NULL ? 0 : -1;
 }
 
 static int
 write_settings(const soak_t *soak, size_t i, const char *path, err_t *err)
 {
-    int port = soak->port + PORT_RELAY + 4 * (int)i;
+    int port = soak->first_port + PORT_RELAY + 4 * (int)i;
     FILE *file = fopen(path, "we");
     if (file == NULL) {
         return err_set(err, ERR_SETTINGS, 1, "cannot write %s", path);
@@ -162,7 +162,7 @@
                   "[relay]\nstop_s = 8\nretry_ratio = 0.2\nretry_slack = 50\n"
                   "retry_window_s = 10\nlease_ms = 3000\nweights_ms = 10000\n",
                   i + 1, "ab"[i % 2], port, port + 1, port + 2, port + 3,
-                  soak->port + PORT_UPLINK + (int)i);
+                  soak->first_port + PORT_STORE_LINK + (int)i);
     return fclose(file) == 0
                ? 0
                : err_set(err, ERR_SETTINGS, 1, "cannot write %s", path);
@@ -173,37 +173,39 @@
 {
     soak_relay_t *relay = &soak->relays[i];
     char name[CS_NAME_MAX];
-    char own[CS_ADDR_MAX];
-    char uplink[CS_ADDR_MAX];
+    char listen_addr[CS_ADDR_MAX];
+    char store_link_addr[CS_ADDR_MAX];
     (void)snprintf(name, sizeof(name), "relay-%zu", i + 1);
-    process_name(soak, &relay->process, name);
-    char *settings = word("%s/%s.ini", soak->dir, name);
+    process_set_name(soak, &relay->process, name);
+    char *settings = format_string("%s/%s.ini", soak->dir, name);
     if (write_settings(soak, i, settings, err) != 0) {
         return -1;
     }
-    relay->process.argv[0] = word("%s/celeryspoold", soak->build);
-    relay->process.argv[1] = word("--settings");
+    relay->process.argv[0] = format_string("%s/celeryspoold", soak->build);
+    relay->process.argv[1] = format_string("--settings");
     relay->process.argv[2] = settings;
-    soak_addr(soak, PORT_RELAY + 4 * (int)i, own);
-    soak_addr(soak, PORT_FRONT + (int)i, relay->front_addr);
-    soak_addr(soak, PORT_UPLINK + (int)i, uplink);
-    relay->front = proxy_open(soak->base, relay->front_addr, own, err);
-    relay->store = relay->front == NULL
-                       ? NULL
-                       : proxy_open(soak->base, uplink, soak->store_addr, err);
-    /* What happens while it starts is no fault of its own. */
-    relay->disturbed_ms = time_mono_ms() + 3000;
-    return relay->store != NULL ? process_start(&relay->process) : -1;
+    soak_addr(soak, PORT_RELAY + 4 * (int)i, listen_addr);
+    soak_addr(soak, PORT_CALLER_LINK + (int)i, relay->caller_addr);
+    soak_addr(soak, PORT_STORE_LINK + (int)i, store_link_addr);
+    relay->caller_link =
+        proxy_open(soak->base, relay->caller_addr, listen_addr, err);
+    relay->store_link =
+        relay->caller_link == NULL
+            ? NULL
+            : proxy_open(soak->base, store_link_addr, soak->store_addr, err);
+    /* While it starts, the relay counts as disturbed. */
+    relay->disturbed_until_ms = time_mono_ms() + 3000;
+    return relay->store_link != NULL ? process_start(&relay->process) : -1;
 }
 
-/* Name a configuration, newer than the last.  Routes whose requests may run
- * once have attempts left, so that nothing but their kind keeps them from a
- * second run. */
+/* Publishes the next version of the configuration.  Routes whose requests may
+ * run only once have two attempts, so that only their kind prevents a second
+ * run. */
 void
-deployment_config(soak_t *soak)
+deployment_publish_config(soak_t *soak)
 {
     CLEAN_BUF buf_t text = {0};
-    bool old_key = soak->old_key_until_ms == 0;
+    bool old_key = soak->old_key_removed_ms == 0;
     buf_fmt(
         &text,
         "{\"version\":%lld,\"routes\":["
@@ -231,20 +233,20 @@
         "\"tenants\":[{\"name\":\"ws1\",\"access_keys\":[\"key1\"%s],"
         "\"isolated\":true},{\"name\":\"ws2\",\"access_keys\":[\"key2\"]}]}",
         (long long)++soak->config_version, old_key ? ",\"old-key\"" : "");
-    soak_admin(soak, "object/config/main", buf_text(&text));
+    soak_post_admin(soak, "object/config/main", buf_text(&text));
 }
 
 static void
-name_weights(soak_t *soak)
+publish_weights(soak_t *soak)
 {
     char text[96];
     (void)snprintf(text, sizeof(text), "{\"model\":\"m1\",\"version\":%lld}",
                    (long long)soak->weights);
-    soak_admin(soak, "object/versions/m1", text);
+    soak_post_admin(soak, "object/versions/m1", text);
 }
 
 static bool
-answers(const char *addr)
+accepts_connections(const char *addr)
 {
     struct sockaddr_in to;
     int len = (int)sizeof(to);
@@ -255,33 +257,33 @@
     return up;
 }
 
-/* Start everything. */
+/* Starts the stand-ins, the links and the relays. */
 int
 deployment_open(soak_t *soak, err_t *err)
 {
     size_t engines = soak->server_count - 2;
     soak_addr(soak, PORT_STORE, soak->store_addr);
-    process_name(soak, &soak->platform, "platform");
+    process_set_name(soak, &soak->platform, "platform");
     char **argv = soak->platform.argv;
-    argv[0] = word("%s/fake-platform", soak->build);
-    argv[1] = word("--store");
-    argv[2] = word("%s", soak->store_addr);
-    argv[3] = word("--record");
-    argv[4] = word("%s", soak->record);
+    argv[0] = format_string("%s/fake-platform", soak->build);
+    argv[1] = format_string("--store");
+    argv[2] = format_string("%s", soak->store_addr);
+    argv[3] = format_string("--record");
+    argv[4] = format_string("%s", soak->record_path);
     for (size_t i = 0; i < soak->server_count; i++) {
         if (open_server(soak, i, i < engines, err) != 0) {
             return -1;
         }
     }
     if (process_start(&soak->platform) != 0) {
-        return err_set(err, ERR_SETTINGS, 1, "the stand-in cannot start");
+        return err_set(err, ERR_SETTINGS, 1, "cannot start the stand-in");
     }
-    for (int i = 0; i < 100 && !answers(soak->store_addr); i++) {
+    for (int i = 0; i < 100 && !accepts_connections(soak->store_addr); i++) {
         time_sleep_ms(50);
     }
     soak->weights = 1;
-    deployment_config(soak);
-    name_weights(soak);
+    deployment_publish_config(soak);
+    publish_weights(soak);
     for (size_t i = 0; i < soak->relay_count; i++) {
         if (open_relay(soak, i, err) != 0) {
             return -1;
@@ -290,13 +292,14 @@
     return 0;
 }
 
-/* A process that the soak started has ended. */
+/* Handles the exit of a process that the soak started. */
 void
-deployment_child_ended(soak_t *soak, pid_t pid, int status)
+deployment_child_exited(soak_t *soak, pid_t pid, int status)
 {
     if (pid == soak->platform.pid) {
         soak->platform.pid = 0;
-        soak_broken(soak, "stand-in", "it ended by itself, status %d", status);
+        soak_report_violation(soak, "the stand-in keeps running", "status %d",
+                              status);
         return;
     }
     for (size_t i = 0; i < soak->relay_count; i++) {
@@ -305,19 +308,19 @@
             continue;
         }
         process->pid = 0;
-        process->began_ms = time_mono_ms();
+        process->state_changed_ms = time_mono_ms();
         if (WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL) {
             return;
         }
         if (!process->stopping || !WIFEXITED(status) ||
             WEXITSTATUS(status) != 0) {
-            soak_broken(soak, "a daemon ends only when it is told to",
-                        "%s, status %d", process->name, status);
+            soak_report_violation(soak, "a daemon exits only when asked to",
+                                  "%s, status %d", process->name, status);
         }
     }
 }
 
-/* Start again what ended, and see that stops end. */
+/* Restarts daemons that exited and checks that shutdowns end in time. */
 void
 deployment_tick(soak_t *soak)
 {
@@ -325,18 +328,21 @@
     for (size_t i = 0; i < soak->relay_count; i++) {
         soak_relay_t *relay = &soak->relays[i];
         process_t *process = &relay->process;
-        if (process->pid == 0 && now - process->began_ms >= RESTART_MS) {
+        if (process->pid == 0 &&
+            now - process->state_changed_ms >= RESTART_DELAY_MS) {
             (void)process_start(process);
         }
         if (process->pid != 0 && process->stopping && !process->paused &&
-            now - process->stop_ms > STOP_MS && now > relay->disturbed_ms) {
-            soak_broken(soak, "a stop ends in time", "%s", process->name);
+            now - process->stop_requested_ms > STOP_TIMEOUT_MS &&
+            now > relay->disturbed_until_ms) {
+            soak_report_violation(soak, "a graceful shutdown ends in time",
+                                  "%s", process->name);
             process_signal(process, SIGKILL);
         }
     }
 }
 
-/* End what the soak started. */
+/* Kills the processes that the soak started. */
 void
 deployment_stop(soak_t *soak)
 {
--- a/soak/faults.c
+++ b/soak/faults.c
@@ -5,41 +5,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What goes wrong, when, and for how long: drawn from the seed, in series that
+/* Draws the faults, their times and durations from the seed.  Faults may
  * overlap. */
 
-/* Pause between the begins of two faults, ms. */
-#define PAUSE_LEAST_MS 150
-#define PAUSE_SPREAD_MS 900
-/* A fault lasts so long, ms. */
-#define LAST_LEAST_MS 200
-#define LAST_SPREAD_MS 2500
-/* Behind a fault of its own a relay counts as disturbed for so long, ms: what
- * was in flight, circuits and retries are over by then. */
-#define AFTER_MS 3000
+/* Time between the starts of two faults: minimum, and random part on top. */
+#define PAUSE_MS_MIN 150
+#define PAUSE_RANGE_MS 900
+/* Duration of a fault: minimum, and random part on top. */
+#define DURATION_MS_MIN 200
+#define DURATION_RANGE_MS 2500
+/* A relay or server counts as disturbed for this long after a fault: requests
+ * in flight, open circuit breakers and retries have ended by then. */
+#define AFTEREFFECT_MS 3000
 
 typedef enum {
     FAULT_RELAY_KILL,
     FAULT_RELAY_STOP,
     FAULT_RELAY_PAUSE,
     FAULT_RELAY_RELOAD,
-    FAULT_FRONT,  /* the link from callers to a relay */
-    FAULT_UPLINK, /* the link from a relay to the store */
-    FAULT_LINK,   /* the link to a server */
-    FAULT_RESETS, /* open connections on a link are reset */
-    FAULT_STALLS, /* or go silent for good */
-    FAULT_SERVER, /* a server misbehaves */
+    FAULT_CALLER_LINK,       /* the link from callers to a relay */
+    FAULT_STORE_LINK,        /* the link from a relay to the store */
+    FAULT_SERVER_LINK,       /* the link to a server */
+    FAULT_RESET_CONNECTIONS, /* open connections on a link are reset */
+    FAULT_STALL_CONNECTIONS, /* open connections on a link go silent */
+    FAULT_SERVER,            /* a server answers wrongly or not at all */
     FAULT_STORE_DOWN,
     FAULT_STORE_SILENT,
-    FAULT_STORE_LOSES, /* writes are done and not answered */
-    FAULT_STORE_FORGETS,
-    FAULT_CONFIG,
-    FAULT_WEIGHTS,
-    FAULT_KEY, /* a key is taken away */
+    FAULT_STORE_LOSES_ANSWERS, /* writes are done but not answered */
+    FAULT_STORE_LOSES_HISTORY,
+    FAULT_NEW_CONFIG,
+    FAULT_NEW_WEIGHTS,
+    FAULT_REMOVE_KEY, /* a key leaves the configuration */
     FAULT_KINDS
 } fault_kind_t;
 
-static const char *const words[FAULT_KINDS] = {
+static const char *const kind_names[FAULT_KINDS] = {
     "relay-kill", "relay-stop",   "relay-pause", "relay-reload",  "front-link",
     "store-link", "server-link",  "resets",      "stalls",        "server",
     "store-down", "store-silent", "store-loses", "store-forgets", "config",
@@ -48,69 +48,72 @@
 typedef struct fault {
     CK_LIST_ENTRY(fault) entry;
     fault_kind_t kind;
-    size_t which;
+    size_t target;
     int64_t until_ms;
 } fault_t;
 
-static CK_LIST_HEAD(faults, fault) running = CK_LIST_HEAD_INITIALIZER(running);
-static int64_t next_ms;
+static CK_LIST_HEAD(faults, fault)
+    active_faults = CK_LIST_HEAD_INITIALIZER(active_faults);
+static int64_t next_fault_ms;
 
 static soak_relay_t *
-relay_of(soak_t *soak, size_t which)
+relay_at(soak_t *soak, size_t target)
 {
-    return &soak->relays[which % soak->relay_count];
+    return &soak->relays[target % soak->relay_count];
 }
 
 static soak_server_t *
-server_of(soak_t *soak, size_t which)
+server_at(soak_t *soak, size_t target)
 {
-    return &soak->servers[which % soak->server_count];
+    return &soak->servers[target % soak->server_count];
 }
 
 static int64_t
-later_of(int64_t known_ms, int64_t last_ms)
+extend_until(int64_t current_ms, int64_t duration_ms)
 {
-    int64_t until = time_mono_ms() + last_ms + AFTER_MS;
-    return until > known_ms ? until : known_ms;
+    int64_t until = time_mono_ms() + duration_ms + AFTEREFFECT_MS;
+    return until > current_ms ? until : current_ms;
 }
 
 static void
-disturb_relay(soak_relay_t *relay, int64_t last_ms)
+disturb_relay(soak_relay_t *relay, int64_t duration_ms)
 {
-    relay->troubles++;
-    relay->disturbed_ms = later_of(relay->disturbed_ms, last_ms);
+    relay->disturbances++;
+    relay->disturbed_until_ms =
+        extend_until(relay->disturbed_until_ms, duration_ms);
 }
 
 static void
-disturb_servers(soak_t *soak, int64_t last_ms)
+disturb_servers(soak_t *soak, int64_t duration_ms)
 {
-    soak->servers_troubles++;
-    soak->servers_disturbed_ms = later_of(soak->servers_disturbed_ms, last_ms);
+    soak->server_disturbances++;
+    soak->servers_disturbed_until_ms =
+        extend_until(soak->servers_disturbed_until_ms, duration_ms);
 }
 
 static void
-set_mode(soak_t *soak, size_t which, const char *mode)
+set_server_mode(soak_t *soak, size_t target, const char *mode)
 {
     char path[CS_NAME_MAX * 2];
     char body[64];
     (void)snprintf(path, sizeof(path), "server/%s",
-                   server_of(soak, which)->id);
+                   server_at(soak, target)->id);
     (void)snprintf(body, sizeof(body), "{\"mode\":\"%s\"}", mode);
-    soak_admin(soak, path, body);
+    soak_post_admin(soak, path, body);
 }
 
 static link_state_t
-bad_link(soak_t *soak)
+random_link_fault(soak_t *soak)
 {
-    return LINK_SLOW + (link_state_t)rng_below(&soak->rng, 5);
+    return LINK_DELAYED + (link_state_t)rng_below(&soak->rng, 5);
 }
 
 static void
-relay_fault(fault_kind_t kind, soak_relay_t *relay, int64_t last_ms)
+start_relay_fault(fault_kind_t kind, soak_relay_t *relay, int64_t duration_ms)
 {
     process_t *process = &relay->process;
     if (process->pid == 0 || process->stopping || process->paused) {
-        return; /* one at a time */
+        return; /* one fault per relay at a time */
     }
     if (kind == FAULT_RELAY_RELOAD) {
         process_signal(process, SIGHUP);
@@ -118,12 +121,12 @@
     }
     if (kind == FAULT_RELAY_STOP) {
         process->stopping = true;
-        process->stop_ms = time_mono_ms();
-        relay->stopped_ms = process->stop_ms + 10000;
+        process->stop_requested_ms = time_mono_ms();
+        relay->stopping_until_ms = process->stop_requested_ms + 10000;
         process_signal(process, SIGTERM);
         return;
     }
-    disturb_relay(relay, last_ms);
+    disturb_relay(relay, duration_ms);
     if (kind == FAULT_RELAY_PAUSE) {
         process->paused = true;
     }
@@ -131,84 +134,85 @@
 }
 
 static void
-key_fault(soak_t *soak)
+remove_old_key(soak_t *soak)
 {
-    if (soak->old_key_until_ms == 0) {
-        soak->old_key_until_ms = time_mono_ms();
-        deployment_config(soak);
+    if (soak->old_key_removed_ms == 0) {
+        soak->old_key_removed_ms = time_mono_ms();
+        deployment_publish_config(soak);
     }
 }
 
 static void
-weights_fault(soak_t *soak)
+publish_next_weights(soak_t *soak)
 {
     char body[96];
     (void)snprintf(body, sizeof(body), "{\"model\":\"m1\",\"version\":%lld}",
                    (long long)++soak->weights);
-    soak_admin(soak, "object/versions/m1", body);
-    /* Loads take servers away one after the other. */
+    soak_post_admin(soak, "object/versions/m1", body);
+    /* Servers are unavailable one after the other while they load. */
     disturb_servers(soak, 3000);
 }
 
 static void
-begin(soak_t *soak, const fault_t *fault, int64_t last_ms)
+start_fault(soak_t *soak, const fault_t *fault, int64_t duration_ms)
 {
     static const char *const modes[] = {"shed",   "error", "reset",
                                         "silent", "cut",   "foreign"};
-    soak_relay_t *relay = relay_of(soak, fault->which);
-    soak_server_t *server = server_of(soak, fault->which);
+    soak_relay_t *relay = relay_at(soak, fault->target);
+    soak_server_t *server = server_at(soak, fault->target);
     switch (fault->kind) {
         case FAULT_RELAY_KILL:
         case FAULT_RELAY_STOP:
         case FAULT_RELAY_PAUSE:
         case FAULT_RELAY_RELOAD:
-            relay_fault(fault->kind, relay, last_ms);
+            start_relay_fault(fault->kind, relay, duration_ms);
             return;
-        case FAULT_FRONT:
-            disturb_relay(relay, last_ms);
-            proxy_set(relay->front, bad_link(soak));
+        case FAULT_CALLER_LINK:
+            disturb_relay(relay, duration_ms);
+            proxy_set_state(relay->caller_link, random_link_fault(soak));
             return;
-        case FAULT_UPLINK:
-            proxy_set(relay->store, bad_link(soak));
+        case FAULT_STORE_LINK:
+            proxy_set_state(relay->store_link, random_link_fault(soak));
             return;
-        case FAULT_LINK:
-            disturb_servers(soak, last_ms);
-            proxy_set(server->link, bad_link(soak));
+        case FAULT_SERVER_LINK:
+            disturb_servers(soak, duration_ms);
+            proxy_set_state(server->link, random_link_fault(soak));
             return;
-        case FAULT_RESETS:
+        case FAULT_RESET_CONNECTIONS:
             disturb_servers(soak, 0);
             proxy_reset(server->link);
-            proxy_reset(relay->store);
+            proxy_reset(relay->store_link);
             return;
-        case FAULT_STALLS:
+        case FAULT_STALL_CONNECTIONS:
             disturb_servers(soak, 0);
             proxy_stall(server->link);
-            proxy_stall(relay->store);
+            proxy_stall(relay->store_link);
             return;
         case FAULT_SERVER:
-            disturb_servers(soak, last_ms);
-            set_mode(soak, fault->which, modes[rng_below(&soak->rng, 6)]);
+            disturb_servers(soak, duration_ms);
+            set_server_mode(soak, fault->target,
+                            modes[rng_below(&soak->rng, 6)]);
             return;
         case FAULT_STORE_DOWN:
-            soak_admin(soak, "store", "{\"down\":true}");
+            soak_post_admin(soak, "store", "{\"down\":true}");
             return;
         case FAULT_STORE_SILENT:
-            soak_admin(soak, "store", "{\"silent\":true}");
+            soak_post_admin(soak, "store", "{\"silent\":true}");
             return;
-        case FAULT_STORE_LOSES:
-            soak_admin(soak, "store", "{\"lose\":3}");
+        case FAULT_STORE_LOSES_ANSWERS:
+            soak_post_admin(soak, "store", "{\"lose\":3}");
             return;
-        case FAULT_STORE_FORGETS:
-            soak_admin(soak, "store", "{\"forget\":true}");
+        case FAULT_STORE_LOSES_HISTORY:
+            soak_post_admin(soak, "store", "{\"forget\":true}");
             return;
-        case FAULT_CONFIG:
-            deployment_config(soak);
+        case FAULT_NEW_CONFIG:
+            deployment_publish_config(soak);
             return;
-        case FAULT_WEIGHTS:
-            weights_fault(soak);
+        case FAULT_NEW_WEIGHTS:
+            publish_next_weights(soak);
             return;
-        case FAULT_KEY:
-            key_fault(soak);
+        case FAULT_REMOVE_KEY:
+            remove_old_key(soak);
             return;
         case FAULT_KINDS:
             return;
@@ -216,9 +220,9 @@
 }
 
 static void
-end(soak_t *soak, const fault_t *fault)
+end_fault(soak_t *soak, const fault_t *fault)
 {
-    soak_relay_t *relay = relay_of(soak, fault->which);
+    soak_relay_t *relay = relay_at(soak, fault->target);
     switch (fault->kind) {
         case FAULT_RELAY_PAUSE:
             if (relay->process.paused) {
@@ -226,23 +230,23 @@
                 process_signal(&relay->process, SIGCONT);
             }
             return;
-        case FAULT_FRONT:
-            proxy_set(relay->front, LINK_WELL);
+        case FAULT_CALLER_LINK:
+            proxy_set_state(relay->caller_link, LINK_OK);
             return;
-        case FAULT_UPLINK:
-            proxy_set(relay->store, LINK_WELL);
+        case FAULT_STORE_LINK:
+            proxy_set_state(relay->store_link, LINK_OK);
             return;
-        case FAULT_LINK:
-            proxy_set(server_of(soak, fault->which)->link, LINK_WELL);
+        case FAULT_SERVER_LINK:
+            proxy_set_state(server_at(soak, fault->target)->link, LINK_OK);
             return;
         case FAULT_SERVER:
-            set_mode(soak, fault->which, "well");
+            set_server_mode(soak, fault->target, "well");
             return;
         case FAULT_STORE_DOWN:
-            soak_admin(soak, "store", "{\"down\":false}");
+            soak_post_admin(soak, "store", "{\"down\":false}");
             return;
         case FAULT_STORE_SILENT:
-            soak_admin(soak, "store", "{\"silent\":false}");
+            soak_post_admin(soak, "store", "{\"silent\":false}");
             return;
         default:
             return;
@@ -250,42 +254,42 @@
 }
 
 static void
-begin_one(soak_t *soak, int64_t now)
+start_random_fault(soak_t *soak, int64_t now)
 {
     fault_t *fault = mem_zalloc(sizeof(*fault));
-    int64_t last =
-        LAST_LEAST_MS + (int64_t)rng_below(&soak->rng, LAST_SPREAD_MS);
+    int64_t duration_ms =
+        DURATION_MS_MIN + (int64_t)rng_below(&soak->rng, DURATION_RANGE_MS);
     fault->kind = (fault_kind_t)rng_below(&soak->rng, FAULT_KINDS);
-    fault->which = (size_t)rng_below(&soak->rng, 64);
-    fault->until_ms = now + last;
-    if (fault->until_ms > soak->calm_ms) {
-        fault->until_ms = soak->calm_ms;
+    fault->target = (size_t)rng_below(&soak->rng, 64);
+    fault->until_ms = now + duration_ms;
+    if (fault->until_ms > soak->faults_end_ms) {
+        fault->until_ms = soak->faults_end_ms;
     }
     (void)printf("  %6lld ms  %s %zu for %lld ms\n",
-                 (long long)(now - soak->began_ms), words[fault->kind],
-                 fault->which, (long long)last);
-    begin(soak, fault, last);
-    soak->faults++;
-    CK_LIST_INSERT_HEAD(&running, fault, entry);
+                 (long long)(now - soak->start_ms), kind_names[fault->kind],
+                 fault->target, (long long)duration_ms);
+    start_fault(soak, fault, duration_ms);
+    soak->fault_count++;
+    CK_LIST_INSERT_HEAD(&active_faults, fault, entry);
 }
 
-/* One step: what is over ends, and the next begins. */
+/* Ends the faults whose time is over and starts the next one when due. */
 void
 faults_tick(soak_t *soak)
 {
     int64_t now = time_mono_ms();
     fault_t *fault;
     fault_t *next;
-    CK_LIST_FOREACH_SAFE (fault, &running, entry, next) {
+    CK_LIST_FOREACH_SAFE (fault, &active_faults, entry, next) {
         if (now >= fault->until_ms) {
-            end(soak, fault);
+            end_fault(soak, fault);
             CK_LIST_REMOVE(fault, entry);
             free(fault);
         }
     }
-    if (now >= next_ms && now < soak->calm_ms) {
-        begin_one(soak, now);
-        next_ms = now + PAUSE_LEAST_MS +
-                  (int64_t)rng_below(&soak->rng, PAUSE_SPREAD_MS);
+    if (now >= next_fault_ms && now < soak->faults_end_ms) {
+        start_random_fault(soak, now);
+        next_fault_ms = now + PAUSE_MS_MIN +
+                        (int64_t)rng_below(&soak->rng, PAUSE_RANGE_MS);
     }
 }
--- a/soak/proxy.c
+++ b/soak/proxy.c
@@ -9,137 +9,141 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* How much later bytes come over a slow link, ms. */
-#define SLOW_MS 120
+/* Delay of bytes over a delayed link. */
+#define DELAY_MS 120
 
 /* One connection through the proxy. */
-typedef struct pair {
-    CK_LIST_ENTRY(pair) entry;
+typedef struct proxy_conn {
+    CK_LIST_ENTRY(proxy_conn) entry;
     proxy_t *proxy;
-    struct bufferevent *near; /* whoever connected */
-    struct bufferevent *far;  /* the target */
+    struct bufferevent *client; /* the side that connected to the proxy */
+    struct bufferevent *target; /* the side that the proxy connected to */
     struct event *timer;
-    bool near_ended;
-    bool far_ended;
-    bool stalled; /* silent for good, while new connections work */
-} pair_t;
+    bool client_ended;
+    bool target_ended;
+    bool stalled; /* silent from now on; new connections work */
+} proxy_conn_t;
 
-typedef CK_LIST_HEAD(pairs, pair) pairs_t;
+typedef CK_LIST_HEAD(proxy_conns, proxy_conn) proxy_conns_t;
 
 struct proxy {
     struct event_base *base;
     struct evconnlistener *listener;
     struct sockaddr_in target;
     link_state_t state;
-    pairs_t pairs;
+    proxy_conns_t conns;
 };
 
 static void
-pair_free(pair_t *pair)
+conn_free(proxy_conn_t *conn)
 {
-    CK_LIST_REMOVE(pair, entry);
-    event_free(pair->timer);
-    bufferevent_free(pair->near);
-    bufferevent_free(pair->far);
-    free(pair);
+    CK_LIST_REMOVE(conn, entry);
+    event_free(conn->timer);
+    bufferevent_free(conn->client);
+    bufferevent_free(conn->target);
+    free(conn);
 }
 
 static bool
-passes(const pair_t *pair, bool up)
+can_forward(const proxy_conn_t *conn, bool to_target)
 {
-    link_state_t state = pair->proxy->state;
-    if (pair->stalled || state == LINK_SILENT) {
+    link_state_t state = conn->proxy->state;
+    if (conn->stalled || state == LINK_HOLD_BOTH) {
         return false;
     }
-    return state != (up ? LINK_MUTE_UP : LINK_MUTE_DOWN);
+    return state != (to_target ? LINK_HOLD_TO_TARGET : LINK_HOLD_FROM_TARGET);
 }
 
 static void
-pass(struct bufferevent *from, struct bufferevent *to)
+move_bytes(struct bufferevent *from, struct bufferevent *to)
 {
     (void)evbuffer_add_buffer(bufferevent_get_output(to),
                               bufferevent_get_input(from));
 }
 
-/* Whether all that a side sent before its end has left at the other. */
+/* Returns whether one side has ended and all its bytes were written to the
+ * other side. */
 static bool
-is_over(struct bufferevent *from, struct bufferevent *to, bool ended)
+is_drained(struct bufferevent *from, struct bufferevent *to, bool ended)
 {
     return ended && evbuffer_get_length(bufferevent_get_input(from)) == 0 &&
            evbuffer_get_length(bufferevent_get_output(to)) == 0;
 }
 
-/* Pass on what the link lets through; the pair may be gone behind it. */
+/* Forwards the bytes that the link lets through.  May free the connection. */
 static void
-pair_pump(pair_t *pair)
+conn_forward(proxy_conn_t *conn)
 {
-    bool up = passes(pair, true);
-    bool down = passes(pair, false);
-    if (up) {
-        pass(pair->near, pair->far);
+    bool to_target = can_forward(conn, true);
+    bool from_target = can_forward(conn, false);
+    if (to_target) {
+        move_bytes(conn->client, conn->target);
     }
-    if (down) {
-        pass(pair->far, pair->near);
+    if (from_target) {
+        move_bytes(conn->target, conn->client);
     }
-    if ((up && is_over(pair->near, pair->far, pair->near_ended)) ||
-        (down && is_over(pair->far, pair->near, pair->far_ended))) {
-        pair_free(pair);
+    if ((to_target &&
+         is_drained(conn->client, conn->target, conn->client_ended)) ||
+        (from_target &&
+         is_drained(conn->target, conn->client, conn->target_ended))) {
+        conn_free(conn);
     }
 }
 
 static void
-on_due(evutil_socket_t fd, short what, void *arg)
+on_delay_over(evutil_socket_t fd, short what, void *arg)
 {
     (void)fd;
     (void)what;
-    pair_pump(arg);
+    conn_forward(arg);
 }
 
 static void
-pair_step(pair_t *pair)
+conn_process(proxy_conn_t *conn)
 {
-    static const struct timeval late = {0, SLOW_MS * 1000};
-    if (pair->proxy->state != LINK_SLOW) {
-        pair_pump(pair);
+    static const struct timeval delay = {0, DELAY_MS * 1000};
+    if (conn->proxy->state != LINK_DELAYED) {
+        conn_forward(conn);
     }
-    else if (!event_pending(pair->timer, EV_TIMEOUT, NULL)) {
-        (void)event_add(pair->timer, &late);
+    else if (!event_pending(conn->timer, EV_TIMEOUT, NULL)) {
+        (void)event_add(conn->timer, &delay);
     }
 }
 
 static void
-on_moved(struct bufferevent *bev, void *arg)
+on_data(struct bufferevent *bev, void *arg)
 {
     (void)bev;
-    pair_step(arg);
+    conn_process(arg);
 }
 
 static void
 on_event(struct bufferevent *bev, short what, void *arg)
 {
-    pair_t *pair = arg;
+    proxy_conn_t *conn = arg;
     if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) {
         return;
     }
-    if (bev == pair->near) {
-        pair->near_ended = true;
+    if (bev == conn->client) {
+        conn->client_ended = true;
     }
     else {
-        pair->far_ended = true;
+        conn->target_ended = true;
     }
-    if ((what & BEV_EVENT_ERROR) != 0 && !pair->stalled &&
-        pair->proxy->state != LINK_SILENT) {
-        pair_free(pair);
+    if ((what & BEV_EVENT_ERROR) != 0 && !conn->stalled &&
+        conn->proxy->state != LINK_HOLD_BOTH) {
+        conn_free(conn);
         return;
     }
-    pair_step(pair);
+    conn_process(conn);
 }
 
+/* Makes the close of a socket send a reset. */
 static void
-reset(evutil_socket_t fd)
+reset_on_close(evutil_socket_t fd)
 {
-    struct linger now = {1, 0};
-    (void)setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    struct linger reset = {1, 0};
+    (void)setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 }
 
 static void
@@ -151,45 +155,48 @@
     (void)listener;
     (void)from;
     (void)len;
-    if (proxy->state == LINK_REFUSING) {
-        reset(fd);
+    if (proxy->state == LINK_RESET_NEW) {
+        reset_on_close(fd);
         (void)close(fd);
         return;
     }
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    pair_t *pair = mem_zalloc(sizeof(*pair));
-    pair->proxy = proxy;
-    pair->timer = evtimer_new(proxy->base, on_due, pair);
-    pair->near =
+    proxy_conn_t *conn = mem_zalloc(sizeof(*conn));
+    conn->proxy = proxy;
+    conn->timer = evtimer_new(proxy->base, on_delay_over, conn);
+    conn->client =
         bufferevent_socket_new(proxy->base, fd, BEV_OPT_CLOSE_ON_FREE);
-    pair->far = bufferevent_socket_new(proxy->base, -1, BEV_OPT_CLOSE_ON_FREE);
-    CK_LIST_INSERT_HEAD(&proxy->pairs, pair, entry);
-    bufferevent_setcb(pair->near, on_moved, on_moved, on_event, pair);
-    bufferevent_setcb(pair->far, on_moved, on_moved, on_event, pair);
-    (void)bufferevent_enable(pair->near, EV_READ | EV_WRITE);
-    (void)bufferevent_enable(pair->far, EV_READ | EV_WRITE);
-    (void)bufferevent_socket_connect(
-        pair->far, (struct sockaddr *)&proxy->target, sizeof(proxy->target));
+    conn->target =
+        bufferevent_socket_new(proxy->base, -1, BEV_OPT_CLOSE_ON_FREE);
+    CK_LIST_INSERT_HEAD(&proxy->conns, conn, entry);
+    bufferevent_setcb(conn->client, on_data, on_data, on_event, conn);
+    bufferevent_setcb(conn->target, on_data, on_data, on_event, conn);
+    (void)bufferevent_enable(conn->client, EV_READ | EV_WRITE);
+    (void)bufferevent_enable(conn->target, EV_READ | EV_WRITE);
+    (void)bufferevent_socket_connect(conn->target,
+                                     (struct sockaddr *)&proxy->target,
+                                     sizeof(proxy->target));
 }
 
-/* A link from one address of this host to another. */
+/* Opens a link from a listening address to a target address. */
 proxy_t *
 proxy_open(struct event_base *base, const char *listen, const char *target,
            err_t *err)
 {
     proxy_t *proxy = mem_zalloc(sizeof(*proxy));
-    struct sockaddr_in at;
-    int len = (int)sizeof(at);
+    struct sockaddr_in listen_addr;
+    int len = (int)sizeof(listen_addr);
     proxy->base = base;
-    CK_LIST_INIT(&proxy->pairs);
+    CK_LIST_INIT(&proxy->conns);
     (void)evutil_parse_sockaddr_port(target, (struct sockaddr *)&proxy->target,
                                      &len);
-    len = (int)sizeof(at);
-    (void)evutil_parse_sockaddr_port(listen, (struct sockaddr *)&at, &len);
+    len = (int)sizeof(listen_addr);
+    (void)evutil_parse_sockaddr_port(listen, (struct sockaddr *)&listen_addr,
+                                     &len);
     proxy->listener = evconnlistener_new_bind(
         base, on_accept, proxy,
         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
-        1024, (struct sockaddr *)&at, len);
+        1024, (struct sockaddr *)&listen_addr, len);
     if (proxy->listener == NULL) {
         (void)err_set(err, ERR_HTTP, 1, "cannot listen at %s", listen);
         free(proxy);
@@ -198,37 +205,39 @@
     return proxy;
 }
 
-/* Change the link; what it held until now goes on if it may. */
+/* Sets the state of the link; bytes held back so far are forwarded if the new
+ * state allows it. */
 void
-proxy_set(proxy_t *proxy, link_state_t state)
+proxy_set_state(proxy_t *proxy, link_state_t state)
 {
-    pair_t *pair;
-    pair_t *next;
+    proxy_conn_t *conn;
+    proxy_conn_t *next;
     proxy->state = state;
-    CK_LIST_FOREACH_SAFE (pair, &proxy->pairs, entry, next) {
-        pair_step(pair);
+    CK_LIST_FOREACH_SAFE (conn, &proxy->conns, entry, next) {
+        conn_process(conn);
     }
 }
 
-/* Reset the connections that are open now. */
+/* Resets all open connections; new ones work. */
 void
 proxy_reset(proxy_t *proxy)
 {
-    pair_t *pair;
-    pair_t *next;
-    CK_LIST_FOREACH_SAFE (pair, &proxy->pairs, entry, next) {
-        reset(bufferevent_getfd(pair->near));
-        reset(bufferevent_getfd(pair->far));
-        pair_free(pair);
+    proxy_conn_t *conn;
+    proxy_conn_t *next;
+    CK_LIST_FOREACH_SAFE (conn, &proxy->conns, entry, next) {
+        reset_on_close(bufferevent_getfd(conn->client));
+        reset_on_close(bufferevent_getfd(conn->target));
+        conn_free(conn);
     }
 }
 
-/* The connections that are open now go silent for good. */
+/* Makes all open connections silent for the rest of their life; new ones
+ * work. */
 void
 proxy_stall(proxy_t *proxy)
 {
-    pair_t *pair;
-    CK_LIST_FOREACH (pair, &proxy->pairs, entry) {
-        pair->stalled = true;
+    proxy_conn_t *conn;
+    CK_LIST_FOREACH (conn, &proxy->conns, entry) {
+        conn->stalled = true;
     }
 }
--- a/soak/regress.sh
+++ b/soak/regress.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays every seed of soak/seeds.txt and one more, given or 1.
+# Runs the soak with every seed of soak/seeds.txt and one more: SEED, or 1.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 OUT=${OUT:-out}
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -7,13 +7,15 @@
 #include <sys/stat.h>
 #include <sys/wait.h>
 
-/* Runs one soak: a seed, some seconds of trouble, a calm, the verdict. */
+/* Runs one soak from a seed: some seconds of faults, a recovery phase without
+ * faults, then the checks. */
 
 #define TICK_MS 20
-/* At the end nothing goes wrong for so long, ms: the longest pause of a
- * circuit, a watch and a lease fit in the first six seconds. */
-#define CALM_MS 9000
-#define START_MS 3000
+/* Length of the recovery phase, without faults.  The longest pauses of a
+ * circuit breaker, a watch and a lease fit in its first six seconds. */
+#define RECOVERY_MS 9000
+/* For the start of the daemons, and at the end for requests in flight. */
+#define SETTLE_MS 3000
 
 typedef struct {
     uint64_t seed;
@@ -27,27 +29,27 @@
 } args_t;
 
 static const struct argp_option options[] = {
-    {"seed", 's', "N", 0, "what the faults are drawn from", 0},
-    {"seconds", 't', "N", 0, "of trouble", 0},
-    {"relays", 'r', "N", 0, "daemons, 16 at most", 0},
-    {"engines", 'e', "N", 0, "engines, 8 at most; two plain servers beside",
-     0},
-    {"callers", 'c', "N", 0, "callers at once", 0},
-    {"port", 'p', "N", 0, "first of 240 ports", 0},
-    {"dir", 'd', "DIR", 0, "for logs and records", 0},
-    {"build", 'b', "DIR", 0, "where the programs are", 0},
+    {"seed", 's', "N", 0, "seed of the random faults", 0},
+    {"seconds", 't', "N", 0, "duration of the faults", 0},
+    {"relays", 'r', "N", 0, "number of daemons, at most 16", 0},
+    {"engines", 'e', "N", 0,
+     "number of engines, at most 8; two plain servers are added", 0},
+    {"callers", 'c', "N", 0, "number of concurrent callers", 0},
+    {"port", 'p', "N", 0, "first of 240 consecutive ports", 0},
+    {"dir", 'd', "DIR", 0, "directory for logs and records", 0},
+    {"build", 'b', "DIR", 0, "directory of the programs", 0},
     {0},
 };
 
 static error_t
-number(const char *text, long least, long most, struct argp_state *state,
-       long *out)
+parse_number(const char *text, long min, long max, struct argp_state *state,
+             long *out)
 {
     char *end;
     *out = strtol(text, &end, 10);
-    if (*end != '\0' || *out < least || *out > most) {
-        argp_error(state, "%s is no number from %ld to %ld", text, least,
-                   most);
+    if (*end != '\0' || *out < min || *out > max) {
+        argp_error(state, "%s is not a number from %ld to %ld", text, min,
+                   max);
     }
     return 0;
 }
@@ -62,23 +64,23 @@
             args->seed = strtoull(arg, NULL, 10);
             return 0;
         case 't':
-            (void)number(arg, 1, 3600, state, &value);
+            (void)parse_number(arg, 1, 3600, state, &value);
             args->seconds = (int)value;
             return 0;
         case 'r':
-            (void)number(arg, 1, RELAYS_MAX, state, &value);
+            (void)parse_number(arg, 1, RELAYS_MAX, state, &value);
             args->relays = (int)value;
             return 0;
         case 'e':
-            (void)number(arg, 1, ENGINES_MAX, state, &value);
+            (void)parse_number(arg, 1, ENGINES_MAX, state, &value);
             args->engines = (int)value;
             return 0;
         case 'c':
-            (void)number(arg, 1, 1000, state, &value);
+            (void)parse_number(arg, 1, 1000, state, &value);
             args->callers = (int)value;
             return 0;
         case 'p':
-            (void)number(arg, 1024, 65000, state, &value);
+            (void)parse_number(arg, 1024, 65000, state, &value);
             args->port = (int)value;
             return 0;
         case 'd':
@@ -93,9 +95,12 @@
 }
 
 static const struct argp arguments = {
-    options, parse_option,
-    NULL,    "Real daemons under seeded faults, checked by their callers.",
-    NULL,    NULL,
+    options,
+    parse_option,
+    NULL,
+    "Runs real daemons under seeded faults and checks their guarantees.",
+    NULL,
+    NULL,
     NULL};
 
 static void
@@ -106,7 +111,7 @@
     (void)fd;
     (void)what;
     while ((pid = waitpid(-1, &status, WNOHANG)) > 0) {
-        deployment_child_ended(arg, pid, status);
+        deployment_child_exited(arg, pid, status);
     }
 }
 
@@ -118,7 +123,7 @@
     (void)fd;
     (void)what;
     deployment_tick(soak);
-    if (now < soak->began_ms) {
+    if (now < soak->start_ms) {
         return;
     }
     if (soak->callers == NULL) {
@@ -129,7 +134,7 @@
     if (now >= soak->end_ms) {
         callers_stop(soak->callers);
     }
-    if (now >= soak->end_ms + START_MS) {
+    if (now >= soak->end_ms + SETTLE_MS) {
         (void)event_base_loopbreak(soak->base);
     }
 }
@@ -141,23 +146,24 @@
     soak->seed = args->seed;
     soak->rng.state = args->seed;
     soak->build = args->build;
-    soak->port = args->port;
+    soak->first_port = args->port;
     soak->relay_count = (size_t)args->relays;
     soak->server_count = (size_t)args->engines + 2;
     soak->caller_count = (size_t)args->callers;
     (void)snprintf(soak->dir, sizeof(soak->dir), "%s", args->dir);
-    (void)snprintf(soak->record, sizeof(soak->record), "%s/record", args->dir);
+    (void)snprintf(soak->record_path, sizeof(soak->record_path), "%s/record",
+                   args->dir);
     (void)mkdir(args->dir, 0755);
-    (void)remove(soak->record);
+    (void)remove(soak->record_path);
     soak->base = event_base_new();
     soak->exchanges = exchanges_new(soak->base);
     struct event *child = evsignal_new(soak->base, SIGCHLD, on_child, soak);
     struct event *tick = event_new(soak->base, -1, EV_PERSIST, on_tick, soak);
     (void)event_add(child, NULL);
     (void)event_add(tick, &step);
-    soak->began_ms = time_mono_ms() + START_MS;
-    soak->calm_ms = soak->began_ms + (int64_t)args->seconds * 1000;
-    soak->end_ms = soak->calm_ms + CALM_MS;
+    soak->start_ms = time_mono_ms() + SETTLE_MS;
+    soak->faults_end_ms = soak->start_ms + (int64_t)args->seconds * 1000;
+    soak->end_ms = soak->faults_end_ms + RECOVERY_MS;
     return deployment_open(soak, err);
 }
 
@@ -188,7 +194,8 @@
     (void)event_base_dispatch(soak->base);
     deployment_stop(soak);
     callers_check(soak->callers);
-    (void)printf("soak: seed %llu, %u faults, %u promises broken\n",
-                 (unsigned long long)args.seed, soak->faults, soak->broken);
-    return soak->broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+    (void)printf("soak: seed %llu, %u faults, %u guarantees violated\n",
+                 (unsigned long long)args.seed, soak->fault_count,
+                 soak->violations);
+    return soak->violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
