--- a/tests/proc-drain.sh
+++ b/tests/proc-drain.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# A backend server that is leaving still gets new requests. The platform's
-# list lags, then the store goes down just behind the operator's order, and a
-# host was frozen while the order was given. New work must end within
-# seconds, and what runs there must end by itself.
+# Guards against new requests to a backend server that is draining. The
+# platform's list lags, the store fails right after the operator's drain order,
+# and one host is frozen when the order is given. New requests must stop within
+# seconds, and those in flight must complete.
 . "$(dirname "$0")/proc-lib.sh"
-deployment 6 4 || exit 1
+start_deployment 6 4 || exit 1
 load -o "targets=$(targets 4)" -o rate=80 -o seconds=8 -o max_tokens=60 -o workspaces=4 -w "$OUT/load.json" &
 LOAD=$!
 sleep 2
@@ -18,10 +18,10 @@
 control "$STORE" '{"outage":false,"hosts":[{"name":"engine-2","state":"leaving"}]}'
 listed=$(now_ms)
 wait $LOAD
-whole_and_right "$OUT/load.json"
-expect "nothing was cut" [ "$(get "$OUT/load.json" total.unknown)" = 0 ]
-last=$(($(check last-sent engine-1 "$OUT"/router-*.events) - drained))
-expect "last new request ${last} ms behind the drain order" [ "$last" -lt 3000 ]
-last=$(($(check last-sent engine-2 "$OUT"/router-*.events) - listed))
-expect "last new request ${last} ms behind the list's word" [ "$last" -lt 3000 ]
+expect_complete_answers "$OUT/load.json"
+expect "no request was cut off" [ "$(get "$OUT/load.json" total.unknown)" = 0 ]
+last=$(($(fake_check last-sent engine-1 "$OUT"/router-*.events) - drained))
+expect "last new request ${last} ms after the drain order" [ "$last" -lt 3000 ]
+last=$(($(fake_check last-sent engine-2 "$OUT"/router-*.events) - listed))
+expect "last new request ${last} ms after the change of the list" [ "$last" -lt 3000 ]
 finish
--- a/tests/proc-keys.sh
+++ b/tests/proc-keys.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# A reader is struck twice, or a sale is billed twice. Each key is asked for
-# at three hosts at once while the service breaks connections before and after
-# the effect, store answers are lost, the store is down, a host is frozen and
-# one is killed. The cause is a second send; the claim log must allow one.
+# Guards against two effects of one idempotency key, such as a sale billed twice.
+# Each key is requested at three hosts at once while the service breaks
+# connections before and after the effect, store answers are lost, the store is
+# down, a host is frozen and one is killed. The failure comes from a second send;
+# the claims in the store must allow only one.
 . "$(dirname "$0")/proc-lib.sh"
-deployment 3 4 || exit 1
+start_deployment 3 4 || exit 1
 control "$SERVICE" '{"delay_ms":30}'
 load -o "targets=$(targets 4)" -o rate=0 -o seconds=10 -o keyed_rate=25 -o key_repeats=3 -w "$OUT/load.json" &
 LOAD=$!
@@ -24,10 +25,10 @@
 stop router-2 KILL
 wait $LOAD
 truth "$SERVICE" >"$OUT/effects.json"
-expect "at most one effect a key, and each told what happened" check keys "$OUT/load.json" "$OUT/effects.json"
+expect "at most one effect per key, and each answer says what happened" fake_check keys "$OUT/load.json" "$OUT/effects.json"
 ran=$(tr ',' '\n' <"$OUT/effects.json" | grep -c ':')
 expect "most of 250 keys ran: $ran" [ "$ran" -ge 150 ]
 truth "$STORE" >"$OUT/store.json"
-echo "  store writes: $(get "$OUT/store.json" writes), at most $(get "$OUT/store.json" writes_peak) in a second"
-expect "the platform's rate was kept" [ "$(get "$OUT/store.json" writes_peak)" -le 300 ]
+echo "  store writes: $(get "$OUT/store.json" writes), peak $(get "$OUT/store.json" writes_peak) per second"
+expect "the platform's limit of store writes is respected" [ "$(get "$OUT/store.json" writes_peak)" -le 300 ]
 finish
--- a/tests/proc-refusals.sh
+++ b/tests/proc-refusals.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# A moderator is told "not run", orders again, and the request ran twice.
-# Load three times above capacity makes the daemons refuse, replicas are
-# killed and brought back meanwhile, deadlines are short. Whatever was told
-# not run must be absent from what the replicas executed, and every refusal
-# must come at once and say when to come back.
+# Guards against a request that is reported as not run, is sent again by its
+# caller and so runs twice. The load is three times the capacity, so that the
+# daemons refuse; one replica crashes and one is frozen meanwhile, and deadlines
+# are short. No request reported as not run may be among those that the replicas
+# executed, and every refusal must come at once with a Retry-After time.
 . "$(dirname "$0")/proc-lib.sh"
 start_store && start_service && start_engines 3 --prefill-rate 8000 --slots 16 && start_daemons 4 &&
     declare_all 3 moderation && wait_generation 4 || exit 1
@@ -16,11 +16,11 @@
 sleep 1
 kill -CONT "${PIDS[engine-2]}"
 wait $LOAD
-whole_and_right "$OUT/load.json"
+expect_complete_answers "$OUT/load.json"
 for i in 1 2 3; do truth "$(engine_addr "$i")" >"$OUT/engine-$i.json"; done
-expect "what was told not run did not run" check not-run "$OUT"/router-*.events -- "$OUT"/engine-*.json
+expect "requests reported as not run did not run" fake_check not-run "$OUT"/router-*.events -- "$OUT"/engine-*.json
 refused=$(get "$OUT/load.json" total.refused)
 expect "there were refusals: $refused" [ "$refused" -ge 20 ]
-expect "each said when to come back" [ "$(get "$OUT/load.json" refusals.without_retry_after)" = 0 ]
+expect "each had a Retry-After time" [ "$(get "$OUT/load.json" refusals.without_retry_after)" = 0 ]
 echo "  done $(get "$OUT/load.json" total.done), unknown $(get "$OUT/load.json" total.unknown), slowest refusal $(get "$OUT/load.json" refusals.slowest_ms) ms"
 finish
--- a/tests/proc-relay-facts.sh
+++ b/tests/proc-relay-facts.sh
@@ -1,43 +1,44 @@
 #!/usr/bin/env bash
-# The operator changes routes, takes keys away and names new weights while the
-# store forgets its history and loses answers. Every daemon follows within two
-# seconds and never goes back; every server gets each version once, by one
-# holder of the lease, also when that holder is killed.
+# Guards against daemons and servers that miss changes of routes, keys and
+# weights, or go back to older ones, when the store loses its history and
+# answers. Every daemon must follow a change within two seconds, and every server
+# must load each version once, ordered by one lease holder, also when that holder
+# is killed.
 . "$(dirname "$0")/relay-lib.sh"
 start_platform 4 1 && start_relays 3 || exit 1
-expect "old key is good at first" [ "$(status_of 1 /read/x -H 'Authorization: Token old-key')" = 200 ]
+expect "the old key is accepted at first" [ "$(request_status 1 /read/x -H 'Authorization: Token old-key')" = 200 ]
 sed 's/,"old-key"//; s/"version":1/"version":5/; s#"/open/"#"/moved/"#' "$OUT/config-1.json" >"$OUT/config-5.json"
-admin store '{"forget":true}'
-admin object/config/main "@$OUT/config-5.json"
+post_admin store '{"forget":true}'
+post_admin object/config/main "@$OUT/config-5.json"
 sleep 2
 for i in 1 2 3; do
-    expect "daemon $i: key is gone" [ "$(status_of $i /read/x -H 'Authorization: Token old-key')" = 401 ]
-    expect "daemon $i: new route" [ "$(status_of $i /moved/x)" = 200 ]
-    expect "daemon $i: old route is gone" [ "$(status_of $i /open/x)" = 404 ]
+    expect "daemon $i: the old key is rejected" [ "$(request_status $i /read/x -H 'Authorization: Token old-key')" = 401 ]
+    expect "daemon $i: the new route works" [ "$(request_status $i /moved/x)" = 200 ]
+    expect "daemon $i: the old route is unknown" [ "$(request_status $i /open/x)" = 404 ]
 done
-# The history is gone and an older version comes back under a newer revision.
-admin object/config/main "@$OUT/config-1.json"
+# After the loss of the history an older version is written under a newer revision.
+post_admin object/config/main "@$OUT/config-1.json"
 sleep 1
-expect "an older version is not taken" [ "$(status_of 1 /moved/x)" = 200 ]
+expect "an older version is not adopted" [ "$(request_status 1 /moved/x)" = 200 ]
 
-loaded() { grep -c "order .*status=202 .*\"version\": *$1" "$RECORD"; }
+count_loads() { grep -c "order .*status=202 .*\"version\": *$1" "$RECORD"; }
 wait_loaded() {
     local i
-    for ((i = 0; i < 100; i++)); do [ "$(loaded "$1")" = 4 ] && return 0; sleep 0.1; done
+    for ((i = 0; i < 100; i++)); do [ "$(count_loads "$1")" = 4 ] && return 0; sleep 0.1; done
     return 1
 }
-admin object/versions/m1 '{"model":"m1","version":2}'
+post_admin object/versions/m1 '{"model":"m1","version":2}'
 expect "each server loads version 2 once" wait_loaded 2
 holder=$(grep -l 'event=lease-held' "$OUT"/relay-*.log | head -1 | sed 's/.*relay-\([0-9]\).*/\1/')
-admin store '{"lose":2}'
+post_admin store '{"lose":2}'
 kill -KILL "${PIDS[relay-$holder]}"
-admin object/versions/m1 '{"model":"m1","version":3}'
-expect "a killed holder is succeeded, answers lost" wait_loaded 3
+post_admin object/versions/m1 '{"model":"m1","version":3}'
+expect "another daemon takes over from a killed holder, despite lost answers" wait_loaded 3
 sleep 0.5
-fences=$(grep 'order .*status=202' "$RECORD" | sed 's/.*"fencing_token": *\([0-9]*\).*/\1/')
-expect "fencing numbers only grow" [ "$fences" = "$(echo "$fences" | sort -n)" ]
-expect "two holders, two numbers" [ "$(echo "$fences" | sort -u | wc -l)" = 2 ]
+tokens=$(grep 'order .*status=202' "$RECORD" | sed 's/.*"fencing_token": *\([0-9]*\).*/\1/')
+expect "fencing tokens never decrease" [ "$tokens" = "$(echo "$tokens" | sort -n)" ]
+expect "two holders have two fencing tokens" [ "$(echo "$tokens" | sort -u | wc -l)" = 2 ]
 other=$((holder % 3 + 1))
-expect "requests are made on the new weights" [ "$(ask $other /review/v "${KEY1[@]}" "${LLM[@]}" -d x | grep -c token-)" = 8 ]
-expect "and say so" grep -q 'uri=/review/v .*Expected-Version=3 ' "$RECORD"
+expect "requests run on the new weights" [ "$(send_request $other /review/v "${KEY1[@]}" "${LLM_HEADERS[@]}" -d x | grep -c token-)" = 8 ]
+expect "and name them" grep -q 'uri=/review/v .*Expected-Version=3 ' "$RECORD"
 finish
--- a/tests/proc-restart.sh
+++ b/tests/proc-restart.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Callers wait for their first token after a restart of daemons, because a
-# fresh daemon does not know where prefixes are cached. One daemon is replaced,
-# then all four at once with the store up, then all with the store down. Hits
-# in the first seconds after must be close to those before.
+# Guards against slow first tokens after a restart of daemons, because a new
+# daemon does not know where prefixes are cached. One daemon is replaced, then all
+# four at once with the store up, then one with the store down. The cache hit rate
+# in the first seconds after each must be close to the rate before.
 . "$(dirname "$0")/proc-lib.sh"
-deployment 9 4 || exit 1
-sums() { # hits and prompts of all engines so far
+start_deployment 9 4 || exit 1
+sums() { # tokens cached and tokens prefilled of all engines so far
     local i hit=0 miss=0
     for ((i = 1; i <= 9; i++)); do
         truth "$(engine_addr "$i")" >"$OUT/e.json"
@@ -14,7 +14,7 @@
     done
     echo "$hit $miss"
 }
-# measure NAME: the hit rate of two seconds of load, in thousandths
+# measure NAME: prints the hit rate during two seconds of load, in thousandths
 measure() {
     local a b
     a=($(sums))
@@ -32,15 +32,15 @@
 }
 restart 2
 one=$(measure one)
-sleep 5.5 # a snapshot is kept every five seconds
+sleep 5.5 # a snapshot is stored every five seconds
 restart 1 2 3 4
-herd=$(measure herd)
+all=$(measure all)
 expect "hits after one restart: $one of $before thousandths before" [ "$one" -ge $((before * 95 / 100)) ]
-expect "hits after all restarted: $herd of $before thousandths before" [ "$herd" -ge $((before * 95 / 100)) ]
-whole_and_right "$OUT/herd.json"
+expect "hits after all restarted: $all of $before thousandths before" [ "$all" -ge $((before * 95 / 100)) ]
+expect_complete_answers "$OUT/all.json"
 control "$STORE" '{"outage":true}'
 restart 1
 down=$(measure down)
-expect "hits after a restart into an outage: $down of $before thousandths" [ "$down" -ge $((before * 95 / 100)) ]
-echo "  p99 to first token: before $(get "$OUT/before.json" total.ttft_p99_ms), one $(get "$OUT/one.json" total.ttft_p99_ms), herd $(get "$OUT/herd.json" total.ttft_p99_ms), store down $(get "$OUT/down.json" total.ttft_p99_ms) ms"
+expect "hits after a restart during an outage: $down of $before thousandths" [ "$down" -ge $((before * 95 / 100)) ]
+echo "  p99 time to first token: before $(get "$OUT/before.json" total.ttft_p99_ms), one $(get "$OUT/one.json" total.ttft_p99_ms), all $(get "$OUT/all.json" total.ttft_p99_ms), store down $(get "$OUT/down.json" total.ttft_p99_ms) ms"
 finish
--- a/tests/proc-rollout.sh
+++ b/tests/proc-rollout.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# A verdict comes from older weights although new ones are in force, or the
-# weights go back. A rollout runs under load over replicas that honour fencing
-# and one that does not, while a host is frozen and another killed. The cause
-# is a late order of an older issuer; the weights must end as configured.
+# Guards against answers from older weights after newer ones are in force, and
+# against weights that go back, because an older issuer's order arrives late. A
+# rollout runs under load over replicas that honour fencing and one that does not,
+# while one host is frozen and another killed. All replicas must end with the
+# configured weights.
 . "$(dirname "$0")/proc-lib.sh"
-deployment 6 4 || exit 1
+start_deployment 6 4 || exit 1
 ctl set backend engine-6 honours_fencing=false >/dev/null
 control "$(engine_addr 6)" '{"honours_fencing":false}'
 load -o "targets=$(targets 4)" -o rate=50 -o seconds=9 -o versions=v1,v2,v3 -w "$OUT/load.json" &
@@ -18,8 +19,8 @@
 kill -CONT "${PIDS[router-2]}"
 stop router-3 KILL
 wait $LOAD
-whole_and_right "$OUT/load.json"
-expect "all done" [ "$(get "$OUT/load.json" total.done)" = "$(get "$OUT/load.json" answered)" ]
+expect_complete_answers "$OUT/load.json"
+expect "all requests are done" [ "$(get "$OUT/load.json" total.done)" = "$(get "$OUT/load.json" answered)" ]
 for i in 1 2 3 4 5 6; do
     for ((n = 0; n < 100; n++)); do
         truth "$(engine_addr "$i")" >"$OUT/engine-$i.json"
--- a/tests/proc-streams.sh
+++ b/tests/proc-streams.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# A caller sees half a verdict that looks whole, or none. Replicas are killed,
-# frozen and cut off in the middle of streams, and a daemon is killed, so that
-# its callers come back at another with Last-Event-ID. The cause is that a
-# stream's state dies with either end; every answer must still be whole.
+# Guards against a partial answer that looks complete, and against lost answers,
+# because the state of a stream is lost with the replica or the daemon. Replicas
+# are killed, frozen and silenced in the middle of streams, and a daemon is killed,
+# so that its callers resume at another with Last-Event-ID. Every answer must be
+# complete.
 . "$(dirname "$0")/proc-lib.sh"
-deployment 9 4 || exit 1
+start_deployment 9 4 || exit 1
 load -o "targets=$(targets 4)" -o rate=60 -o seconds=9 -o max_tokens=80 -w "$OUT/load.json" &
 LOAD=$!
 sleep 1.5
@@ -18,9 +19,9 @@
 sleep 1
 stop router-2 KILL
 wait $LOAD
-whole_and_right "$OUT/load.json"
+expect_complete_answers "$OUT/load.json"
 done=$(get "$OUT/load.json" total.done)
 answered=$(get "$OUT/load.json" answered)
-expect "all done: $done of $answered" [ "$done" = "$answered" ]
+expect "all requests are done: $done of $answered" [ "$done" = "$answered" ]
 expect "streams were moved or resumed" [ "$(cat "$OUT"/*.events | grep -cE '"kind":"(moved|resumed)"')" -ge 5 ]
 finish
--- a/tests/procs.sh
+++ b/tests/procs.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the tests with real processes, one after the other, and counts them.
+# Runs the tests with real processes one after the other and counts the failures.
 cd "$(dirname "$0")/.." || exit 1
 passed=0
 failed=0
@@ -9,7 +9,7 @@
     if timeout 180 bash "$script"; then
         passed=$((passed + 1))
     elif grep -qs "^$(basename "$script" .sh):" KNOWN-RED.txt; then
-        echo "  known red"
+        echo "  known failure (KNOWN-RED.txt)"
     else
         failed=$((failed + 1))
     fi
--- a/tests/relay-lib.sh
+++ b/tests/relay-lib.sh
@@ -1,17 +1,17 @@
-# What the tests of the relay share: a stand-in of the platform with its
-# servers, and daemons in relay mode before it.
+# Shared by the tests of the relay: a stand-in of the platform with its backend
+# servers, and daemons in relay mode in front of it.
 . "$(dirname "${BASH_SOURCE[0]}")/proc-lib.sh"
-PSTORE=127.0.0.1:$((7001 + BASE))
+PLATFORM_STORE=127.0.0.1:$((7001 + BASE))
 RECORD=$OUT/record
 : >"$RECORD"
 
 server_addr() { echo "127.0.0.1:$((7100 + BASE + $1))"; }
-front() { echo "127.0.0.1:$((7200 + BASE + $1))"; }
-ready() { echo "127.0.0.1:$((7300 + BASE + $1))"; }
-meter() { echo "127.0.0.1:$((7500 + BASE + $1))"; }
-inner() { echo "127.0.0.1:$((7400 + BASE + $1))"; }
+relay_addr() { echo "127.0.0.1:$((7200 + BASE + $1))"; }
+ready_addr() { echo "127.0.0.1:$((7300 + BASE + $1))"; }
+metrics_addr() { echo "127.0.0.1:$((7500 + BASE + $1))"; }
+relay_peer_addr() { echo "127.0.0.1:$((7400 + BASE + $1))"; }
 
-# relay_config VERSION [LIMITS]: four routes, two services, two workspaces
+# relay_config VERSION: five routes, two services, two workspaces
 relay_config() {
     cat <<JSON
 {"version":$1,"routes":[
@@ -26,21 +26,21 @@
 JSON
 }
 
-admin() { curl -s -o /dev/null --max-time 2 -d "$2" "http://$PSTORE/admin/$1"; }
+post_admin() { curl -s -o /dev/null --max-time 2 -d "$2" "http://$PLATFORM_STORE/admin/$1"; }
 
-# start_platform ENGINES PLAINS
+# start_platform ENGINES PLAIN_SERVERS
 start_platform() {
     local args=() i
     for ((i = 1; i <= $1; i++)); do args+=(--server "e$i,llm,$(server_addr "$i"),dc-a,engine"); done
     for ((i = 1; i <= $2; i++)); do args+=(--server "p$i,desk,$(server_addr $((20 + i))),dc-a,plain"); done
-    run platform "$BUILD/fake-platform" --store "$PSTORE" --record "$RECORD" "${args[@]}"
-    wait_for "http://$PSTORE/objects/servers" || return 1
+    run platform "$BUILD/fake-platform" --store "$PLATFORM_STORE" --record "$RECORD" "${args[@]}"
+    wait_for "http://$PLATFORM_STORE/objects/servers" || return 1
     relay_config 1 >"$OUT/config-1.json"
-    admin object/config/main "@$OUT/config-1.json"
-    admin object/versions/m1 '{"model":"m1","version":1}'
+    post_admin object/config/main "@$OUT/config-1.json"
+    post_admin object/versions/m1 '{"model":"m1","version":1}'
 }
 
-# limited_config VERSION UNIT RATE BURST: workspace ws1 has a limit
+# limited_config VERSION UNIT RATE BURST: relay_config with a limit for ws1
 limited_config() {
     relay_config "$1" | sed "s/{\"name\":\"ws1\"/&,\"unit\":\"$2\",\"rate_per_s\":$3,\"burst\":$4,\"uncached_tokens\":200/"
 }
@@ -52,12 +52,12 @@
 dc = dc-a
 mode = relay
 [listen]
-http = $(front "$1")
-ready = $(ready "$1")
-peer = $(inner "$1")
-metrics = $(meter "$1")
+http = $(relay_addr "$1")
+ready = $(ready_addr "$1")
+peer = $(relay_peer_addr "$1")
+metrics = $(metrics_addr "$1")
 [platform]
-store = $PSTORE
+store = $PLATFORM_STORE
 [relay]
 stop_s = 8
 retry_ratio = 0.2
@@ -76,27 +76,27 @@
 start_relays() {
     local i
     for ((i = 1; i <= $1; i++)); do start_relay "$i"; done
-    for ((i = 1; i <= $1; i++)); do wait_for "http://$(ready "$i")/readiness" || return 1; done
+    for ((i = 1; i <= $1; i++)); do wait_for "http://$(ready_addr "$i")/readiness" || return 1; done
 }
 
-# ask RELAY PATH [CURL OPTION…]: the body, then the status on a line
-ask() {
+# send_request RELAY PATH [CURL OPTION…]: prints the body, then a line with the status
+send_request() {
     local relay=$1 path=$2
     shift 2
     ID=${ID:-$(date +%s%N)$RANDOM}
     curl -s --max-time 6 -w '\n%{http_code}\n' -H 'Host: a.example' -H "X-Celeryspool-Attempt-Id: $ID" \
-        -H 'X-Celeryspool-Deadline-Milliseconds: 5000' "$@" "http://$(front "$relay")$path"
+        -H 'X-Celeryspool-Deadline-Milliseconds: 5000' "$@" "http://$(relay_addr "$relay")$path"
     ID=
 }
-status_of() { ask "$@" | tail -1; }
+request_status() { send_request "$@" | tail -1; }
 KEY1=(-H 'Authorization: Token key1')
-LLM=(-H 'X-Celeryspool-Model: m1' -H 'X-Celeryspool-Token-Usage: 1460,80' -H 'X-Celeryspool-Prompt-Prefix: aa:800,bb:410,cc:250')
-# raw RELAY TEXT: what comes back for bytes as they are
-raw() {
+LLM_HEADERS=(-H 'X-Celeryspool-Model: m1' -H 'X-Celeryspool-Token-Usage: 1460,80' -H 'X-Celeryspool-Prompt-Prefix: aa:800,bb:410,cc:250')
+# send_raw ADDR TEXT: sends bytes unchanged and prints the response
+send_raw() {
     local host=${1%:*} port=${1#*:}
     exec 9<>"/dev/tcp/$host/$port" || return
     printf "$2" >&9
     timeout 2 head -c 400 <&9
     exec 9>&-
 }
-runs_of() { grep -c "run .*X-Celeryspool-Attempt-Id=$1 " "$RECORD"; }
+count_runs() { grep -c "run .*X-Celeryspool-Attempt-Id=$1 " "$RECORD"; }
--- a/tests/test.h
+++ b/tests/test.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_TEST_H
 #define CELERYSPOOL_TEST_H
 
-/* What all test programs share: one suite each, run without forking so that
- * the sanitizers see everything. */
+/* The main function of all test programs: one suite each, run without forking
+ * so that the sanitizers see everything. */
 
 #include <check.h>
 #include <sodium.h>
