--- a/relay/cache-events.c
+++ b/relay/cache-events.c
@@ -28,10 +28,10 @@
         return;
     }
     if (present) {
-        cache_appeared(relay, holder, &part);
+        cache_note_appeared(relay, holder, &part);
     }
-    else if (!event->added && cache_evicted(relay, holder, key)) {
-        relay->meter.cache_evicted++;
+    else if (!event->added && cache_note_evicted(relay, holder, key)) {
+        relay->meter.cache_parts_evicted++;
         relay->notify_part(relay->peers, holder, &part, false);
     }
 }
@@ -46,6 +46,6 @@
     if (known != NULL) {
         const cached_part_t part = *known;
         cached_parts_remove(unrequested, key);
-        cache_appeared(relay, holder, &part);
+        cache_note_appeared(relay, holder, &part);
     }
 }
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -74,7 +74,7 @@
 
 /* Records that a request here or at another daemon has a part. */
 void
-cache_follower_part_requested(cache_follower_t *follows, uint64_t key)
+cache_follower_note_request(cache_follower_t *follows, uint64_t key)
 {
     const follow_t *follow;
     if (follows == NULL) {
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -39,7 +39,7 @@
 {
     const kv_store_t *store =
         &relay->kv_stores.all[number - KV_STORE_NUMBER_MIN];
-    return relay->config != NULL && store->held != NULL
+    return relay->config != NULL && store->cached_parts != NULL
                ? relay_config_find_service(relay->config, store->name)
                : NULL;
 }
@@ -126,10 +126,10 @@
 holder_parts(const relay_t *relay, uint16_t number)
 {
     if (number >= KV_STORE_NUMBER_MIN) {
-        return relay->kv_stores.all[number - KV_STORE_NUMBER_MIN].held;
+        return relay->kv_stores.all[number - KV_STORE_NUMBER_MIN].cached_parts;
     }
     const server_t *server = servers_find_by_number(relay->servers, number);
-    return server != NULL ? server->held : NULL;
+    return server != NULL ? server->cached_parts : NULL;
 }
 
 /* Returns the first level from a given one on that is not held, or the end:
@@ -222,8 +222,8 @@
 cache_holds_shared(const prefix_t *prefix, const server_t *server)
 {
     unsigned shared = shared_levels(prefix);
-    return shared > 0 &&
-           levels_held_until(server->held, prefix, 0, shared) == shared;
+    return shared > 0 && levels_held_until(server->cached_parts, prefix, 0,
+                                           shared) == shared;
 }
 
 /* Looks up what a server holds of a prompt and where it can fetch more. */
@@ -233,7 +233,7 @@
 {
     int64_t now = time_mono_ms();
     unsigned shared = shared_levels(prefix);
-    unsigned held = levels_held_until(server->held, prefix, 0, shared);
+    unsigned held = levels_held_until(server->cached_parts, prefix, 0, shared);
     memset(out, 0, sizeof(*out));
     out->shared_tokens = shared > 0 ? prefix->levels[shared - 1].tokens : 0;
     out->held_tokens = held > 0 ? prefix->levels[held - 1].tokens : 0;
@@ -329,7 +329,8 @@
 /* Records a part that a holder has by its own list or events, and notifies
  * peers if it was not known. */
 void
-cache_appeared(relay_t *relay, const char *holder, const cached_part_t *part)
+cache_note_appeared(relay_t *relay, const char *holder,
+                    const cached_part_t *part)
 {
     int number = holder_number(relay, holder);
     cached_parts_t *held =
@@ -341,14 +342,14 @@
     (void)cache_map_add_holder_at(relay->cache_map, (uint16_t)number,
                                   part->key, part->prompt_tokens,
                                   time_mono_ms());
-    relay->meter.cache_appeared++;
+    relay->meter.cache_parts_appeared++;
     relay->notify_part(relay->peers, holder, part, true);
 }
 
 /* Records that a holder evicted a part; false if it was not known to hold it.
  */
 bool
-cache_evicted(relay_t *relay, const char *holder, uint64_t key)
+cache_note_evicted(relay_t *relay, const char *holder, uint64_t key)
 {
     int number = holder_number(relay, holder);
     cached_parts_t *held =
@@ -377,11 +378,11 @@
     (void)cache_map_add_holder_at(relay->cache_map, number, part->key,
                                   part->prompt_tokens, now);
     if (part->tokens == 0) {
-        cache_follower_part_requested(relay->cache_follower,
-                                      pending_key(part->key));
+        cache_follower_note_request(relay->cache_follower,
+                                    pending_key(part->key));
         return; /* still being prefilled */
     }
-    cache_follower_part_requested(relay->cache_follower, part->key);
+    cache_follower_note_request(relay->cache_follower, part->key);
     cached_parts_use(holder_parts(relay, number), part);
     if (server != NULL) {
         server_confirm_alive(server, now);
@@ -394,7 +395,7 @@
 cache_clear(relay_t *relay, const server_t *server)
 {
     cache_map_clear_backend(relay->cache_map, server->number);
-    cached_parts_clear(server->held);
+    cached_parts_clear(server->cached_parts);
 }
 
 /* Sets the capacity of a server's cache from the configuration. */
@@ -404,7 +405,7 @@
     const relay_service_t *service = service_of(relay, server);
     if (service != NULL) {
         cached_parts_set_capacity(
-            server->held,
+            server->cached_parts,
             (int64_t)(CAPACITY_SHARE * (double)service->cache_tokens));
     }
 }
@@ -433,7 +434,7 @@
         const prefix_level_t *level = &prefix->levels[i];
         const cached_part_t part = {.key = pending_key(level->key),
                                     .prompt_tokens = level->tokens};
-        cache_follower_part_requested(relay->cache_follower, level->key);
+        cache_follower_note_request(relay->cache_follower, level->key);
         if (cache_map_add_holder_at(relay->cache_map, number, part.key,
                                     level->tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
@@ -464,7 +465,7 @@
     if (to == NULL || shared == 0) {
         return false;
     }
-    unsigned kept = levels_held_until(store->held, prefix, 0, shared);
+    unsigned kept = levels_held_until(store->cached_parts, prefix, 0, shared);
     uint32_t total = prefix->levels[shared - 1].tokens;
     bool known_size = from != NULL && from->bytes_per_token > 0;
     save_params_t params = {
--- a/relay/cache-source.h
+++ b/relay/cache-source.h
@@ -29,9 +29,9 @@
 void cache_lookup(relay_t *relay, const prefix_t *prefix,
                   const server_t *server, cache_view_t *out);
 void cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number);
-void cache_appeared(relay_t *relay, const char *holder,
-                    const cached_part_t *part);
-bool cache_evicted(relay_t *relay, const char *holder, uint64_t key);
+void cache_note_appeared(relay_t *relay, const char *holder,
+                         const cached_part_t *part);
+bool cache_note_evicted(relay_t *relay, const char *holder, uint64_t key);
 void cache_apply_notice(relay_t *relay, const char *holder,
                         const cached_part_t *part);
 void cache_clear(relay_t *relay, const server_t *server);
--- a/relay/cached-parts.c
+++ b/relay/cached-parts.c
@@ -36,9 +36,9 @@
 cached_parts_t *
 cached_parts_new(void)
 {
-    cached_parts_t *held = mem_zalloc(sizeof(*held));
-    held->capacity = CAPACITY_DEFAULT_TOKENS;
-    return held;
+    cached_parts_t *parts = mem_zalloc(sizeof(*parts));
+    parts->capacity = CAPACITY_DEFAULT_TOKENS;
+    return parts;
 }
 
 static cached_entry_t *
@@ -48,22 +48,22 @@
 }
 
 static void
-entry_free(cached_parts_t *held, cached_entry_t *entry)
+entry_free(cached_parts_t *parts, cached_entry_t *entry)
 {
-    lru_remove(&held->lru, &entry->lru);
+    lru_remove(&parts->lru, &entry->lru);
     if (entry->keyed) {
         CK_LIST_REMOVE(entry, bucket);
     }
-    held->tokens -= entry->part.tokens;
-    held->count--;
+    parts->tokens -= entry->part.tokens;
+    parts->count--;
     free(entry);
 }
 
 static cached_entry_t *
-entry_find(const cached_parts_t *held, uint64_t key)
+entry_find(const cached_parts_t *parts, uint64_t key)
 {
     cached_entry_t *entry;
-    CK_LIST_FOREACH (entry, &held->buckets[key % BUCKETS], bucket) {
+    CK_LIST_FOREACH (entry, &parts->buckets[key % BUCKETS], bucket) {
         if (entry->part.key == key) {
             return entry;
         }
@@ -75,114 +75,114 @@
  * removed only when all of its tokens are evicted: the rest of one that is
  * partly evicted can still be used. */
 static void
-evict_oldest(cached_parts_t *held)
+evict_oldest(cached_parts_t *parts)
 {
     cached_entry_t *oldest;
-    while ((oldest = entry_of(held->lru.oldest)) != NULL &&
-           (held->tokens - oldest->part.tokens >= held->capacity ||
-            held->count > ENTRIES_MAX)) {
-        entry_free(held, oldest);
+    while ((oldest = entry_of(parts->lru.oldest)) != NULL &&
+           (parts->tokens - oldest->part.tokens >= parts->capacity ||
+            parts->count > ENTRIES_MAX)) {
+        entry_free(parts, oldest);
     }
 }
 
 /* Sets the capacity of the cache in tokens; values that are not positive are
  * ignored. */
 void
-cached_parts_set_capacity(cached_parts_t *held, int64_t tokens)
+cached_parts_set_capacity(cached_parts_t *parts, int64_t tokens)
 {
-    if (tokens > 0 && tokens != held->capacity) {
-        held->capacity = tokens;
-        evict_oldest(held);
+    if (tokens > 0 && tokens != parts->capacity) {
+        parts->capacity = tokens;
+        evict_oldest(parts);
     }
 }
 
 /* Removes all entries. */
 void
-cached_parts_clear(cached_parts_t *held)
+cached_parts_clear(cached_parts_t *parts)
 {
-    while (held->lru.oldest != NULL) {
-        entry_free(held, entry_of(held->lru.oldest));
+    while (parts->lru.oldest != NULL) {
+        entry_free(parts, entry_of(parts->lru.oldest));
     }
 }
 
 void
-cached_parts_free(cached_parts_t *held)
+cached_parts_free(cached_parts_t *parts)
 {
-    if (held != NULL) {
-        cached_parts_clear(held);
-        free(held);
+    if (parts != NULL) {
+        cached_parts_clear(parts);
+        free(parts);
     }
 }
 
 /* Marks a part as the most recently used one, adding it if it is missing. */
 void
-cached_parts_use(cached_parts_t *held, const cached_part_t *part)
+cached_parts_use(cached_parts_t *parts, const cached_part_t *part)
 {
-    cached_entry_t *entry = entry_find(held, part->key);
+    cached_entry_t *entry = entry_find(parts, part->key);
     if (entry != NULL) {
-        lru_touch(&held->lru, &entry->lru);
+        lru_touch(&parts->lru, &entry->lru);
         return;
     }
     entry = mem_zalloc(sizeof(*entry));
     entry->keyed = true;
     entry->part = *part;
-    CK_LIST_INSERT_HEAD(&held->buckets[part->key % BUCKETS], entry, bucket);
-    lru_add(&held->lru, &entry->lru);
-    held->tokens += part->tokens;
-    held->count++;
-    evict_oldest(held);
+    CK_LIST_INSERT_HEAD(&parts->buckets[part->key % BUCKETS], entry, bucket);
+    lru_add(&parts->lru, &entry->lru);
+    parts->tokens += part->tokens;
+    parts->count++;
+    evict_oldest(parts);
 }
 
 /* Removes a part, whatever its place in the order of use. */
 void
-cached_parts_remove(cached_parts_t *held, uint64_t key)
+cached_parts_remove(cached_parts_t *parts, uint64_t key)
 {
-    cached_entry_t *entry = entry_find(held, key);
+    cached_entry_t *entry = entry_find(parts, key);
     if (entry != NULL) {
-        entry_free(held, entry);
+        entry_free(parts, entry);
     }
 }
 
 /* Adds tokens that no other request shares. */
 void
-cached_parts_add_unshared(cached_parts_t *held, uint32_t tokens)
+cached_parts_add_unshared(cached_parts_t *parts, uint32_t tokens)
 {
-    cached_entry_t *entry = entry_of(held->lru.newest);
+    cached_entry_t *entry = entry_of(parts->lru.newest);
     if (tokens == 0) {
         return;
     }
     if (entry == NULL || entry->keyed) {
         entry = mem_zalloc(sizeof(*entry));
-        lru_add(&held->lru, &entry->lru);
-        held->count++;
+        lru_add(&parts->lru, &entry->lru);
+        parts->count++;
     }
     entry->part.tokens += tokens;
-    held->tokens += tokens;
-    evict_oldest(held);
+    parts->tokens += tokens;
+    evict_oldest(parts);
 }
 
 /* Returns a part, or NULL if it is not held. */
 const cached_part_t *
-cached_parts_get(const cached_parts_t *held, uint64_t key)
+cached_parts_get(const cached_parts_t *parts, uint64_t key)
 {
-    const cached_entry_t *entry = entry_find(held, key);
+    const cached_entry_t *entry = entry_find(parts, key);
     return entry != NULL ? &entry->part : NULL;
 }
 
 /* Returns whether a part is held. */
 bool
-cached_parts_has(const cached_parts_t *held, uint64_t key)
+cached_parts_has(const cached_parts_t *parts, uint64_t key)
 {
-    return entry_find(held, key) != NULL;
+    return entry_find(parts, key) != NULL;
 }
 
 /* Writes the held parts, most recently used first, and returns their number,
  * at most max. */
 size_t
-cached_parts_list(const cached_parts_t *held, cached_part_t *out, size_t max)
+cached_parts_list(const cached_parts_t *parts, cached_part_t *out, size_t max)
 {
     size_t count = 0;
-    for (const cached_entry_t *entry = entry_of(held->lru.newest);
+    for (const cached_entry_t *entry = entry_of(parts->lru.newest);
          entry != NULL && count < max; entry = entry_of(entry->lru.older)) {
         if (entry->keyed) {
             out[count++] = entry->part;
--- a/relay/cached-parts.h
+++ b/relay/cached-parts.h
@@ -16,16 +16,16 @@
 } cached_part_t;
 
 cached_parts_t *cached_parts_new(void);
-void cached_parts_free(cached_parts_t *held);
-void cached_parts_set_capacity(cached_parts_t *held, int64_t tokens);
-void cached_parts_clear(cached_parts_t *held);
-void cached_parts_remove(cached_parts_t *held, uint64_t key);
-void cached_parts_use(cached_parts_t *held, const cached_part_t *part);
-void cached_parts_add_unshared(cached_parts_t *held, uint32_t tokens);
-const cached_part_t *cached_parts_get(const cached_parts_t *held,
+void cached_parts_free(cached_parts_t *parts);
+void cached_parts_set_capacity(cached_parts_t *parts, int64_t tokens);
+void cached_parts_clear(cached_parts_t *parts);
+void cached_parts_remove(cached_parts_t *parts, uint64_t key);
+void cached_parts_use(cached_parts_t *parts, const cached_part_t *part);
+void cached_parts_add_unshared(cached_parts_t *parts, uint32_t tokens);
+const cached_part_t *cached_parts_get(const cached_parts_t *parts,
                                       uint64_t key);
-bool cached_parts_has(const cached_parts_t *held, uint64_t key);
-size_t cached_parts_list(const cached_parts_t *held, cached_part_t *out,
+bool cached_parts_has(const cached_parts_t *parts, uint64_t key);
+size_t cached_parts_list(const cached_parts_t *parts, cached_part_t *out,
                          size_t max);
 
 #endif
--- a/relay/kv-stores.c
+++ b/relay/kv-stores.c
@@ -13,7 +13,7 @@
 static void
 store_clear(kv_store_t *store)
 {
-    cached_parts_free(store->held);
+    cached_parts_free(store->cached_parts);
     *store = (kv_store_t){0};
 }
 
@@ -30,11 +30,11 @@
         return;
     }
     kv_store_t *store = &stores->all[index];
-    if (store->held == NULL) {
-        store->held = cached_parts_new();
+    if (store->cached_parts == NULL) {
+        store->cached_parts = cached_parts_new();
         str_copy(store->name, sizeof(store->name), service->name);
     }
-    cached_parts_set_capacity(store->held, service->cache_tokens);
+    cached_parts_set_capacity(store->cached_parts, service->cache_tokens);
 }
 
 /* Applies the stores of a configuration; the estimated contents of those that
@@ -45,7 +45,8 @@
     const relay_service_t *service;
     for (size_t i = 0; i < KV_STORES_MAX; i++) {
         kv_store_t *store = &stores->all[i];
-        if (store->held != NULL && !config_has_store(config, store->name)) {
+        if (store->cached_parts != NULL &&
+            !config_has_store(config, store->name)) {
             store_clear(store);
         }
     }
@@ -73,10 +74,11 @@
     uint64_t best_weight = 0;
     for (int i = 0; i < KV_STORES_MAX; i++) {
         const kv_store_t *store = &stores->all[i];
-        uint64_t weight = store->held != NULL
+        uint64_t weight = store->cached_parts != NULL
                               ? place_rendezvous_weight(key, store->name)
                               : 0;
-        if (store->held != NULL && (best < 0 || weight > best_weight)) {
+        if (store->cached_parts != NULL &&
+            (best < 0 || weight > best_weight)) {
             best = i;
             best_weight = weight;
         }
--- a/relay/kv-stores.h
+++ b/relay/kv-stores.h
@@ -14,7 +14,7 @@
 
 typedef struct {
     char name[CS_NAME_MAX]; /* of the service; empty for a free element */
-    cached_parts_t *held;
+    cached_parts_t *cached_parts;
     save_bucket_t save_bucket; /* limits this host's saves */
 } kv_store_t;
 
--- a/relay/meter.c
+++ b/relay/meter.c
@@ -79,7 +79,7 @@
     meter_write_value(out, "held_tokens_total", (double)meter->cached_tokens);
     meter_write_value(out, "cache_events_total", (double)meter->cache_events);
     meter_write_value(out, "cache_appeared_total",
-                      (double)meter->cache_appeared);
+                      (double)meter->cache_parts_appeared);
     meter_write_value(out, "cache_evicted_total",
-                      (double)meter->cache_evicted);
+                      (double)meter->cache_parts_evicted);
 }
--- a/relay/meter.h
+++ b/relay/meter.h
@@ -12,7 +12,7 @@
     METER_SERVER_FAILURE, /* the server's error response, passed on */
     METER_REFUSED,
     METER_FAILED,
-    METER_CALLER_LEFT,
+    METER_CALLER_DISCONNECTED,
     METER_OUTCOME_COUNT
 } meter_outcome_t;
 
@@ -30,12 +30,12 @@
     CK_SLIST_HEAD(meter_routes, meter_route) routes;
     uint64_t sends;
     uint64_t retries;
-    uint64_t not_admitted;   /* rejected on receipt */
-    uint64_t prompt_tokens;  /* of all requests */
-    uint64_t cached_tokens;  /* of these, expected in the servers' caches */
-    uint64_t cache_events;   /* received from the followed caches */
-    uint64_t cache_appeared; /* cached parts that were not known yet */
-    uint64_t cache_evicted;  /* evicted parts that were believed cached */
+    uint64_t not_admitted;  /* rejected on receipt */
+    uint64_t prompt_tokens; /* of all requests */
+    uint64_t cached_tokens; /* of these, expected in the servers' caches */
+    uint64_t cache_events;  /* received from the followed caches */
+    uint64_t cache_parts_appeared; /* cached parts that were not known yet */
+    uint64_t cache_parts_evicted; /* evicted parts that were believed cached */
 } meter_t;
 
 void meter_init(meter_t *meter);
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -54,7 +54,7 @@
         server->announced_ms = now_ms;
         server->announced_sent_tokens = server->sent_tokens;
         out->loads[out->load_count++] = (peer_load_t){
-            .server_hash = server->key,
+            .server_hash = server->id_hash,
             .prefill_tokens = (uint32_t)server->own_prefill_tokens,
             .running = (uint32_t)server->own_running,
             .unshared_tokens = server->unshared_tokens,
@@ -70,12 +70,12 @@
 {
     for (size_t i = 0; i < datagram->load_count; i++) {
         const peer_load_t *load = &datagram->loads[i];
-        server_t *server = servers_find_by_key(servers, load->server_hash);
+        server_t *server = servers_find_by_id_hash(servers, load->server_hash);
         if (server == NULL) {
             continue;
         }
         const server_peer_load_t report = {
-            .host = host,
+            .host_hash = host,
             .received_ms = now_ms,
             .prefill_tokens = load->prefill_tokens,
             .running = (int)load->running,
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -31,7 +31,7 @@
         return;
     }
     const server_peer_load_t report = {
-        .host = host,
+        .host_hash = host,
         .received_ms = time_mono_ms(),
         .prefill_tokens = fact->load.waiting_tokens,
         .running = fact->load.running,
@@ -54,7 +54,7 @@
     const cached_part_t part = {fact->key, fact->prefix_tokens,
                                 fact->part_tokens};
     if (!fact->held) {
-        cache_evicted(relay, fact->backend, fact->key);
+        cache_note_evicted(relay, fact->backend, fact->key);
         return;
     }
     cache_apply_notice(relay, fact->backend, &part);
--- a/relay/peers-datagram.c
+++ b/relay/peers-datagram.c
@@ -117,13 +117,14 @@
     server_t *server;
     for (size_t i = 0; i < KV_STORES_MAX; i++) {
         const kv_store_t *store = &relay->kv_stores.all[i];
-        if (store->held != NULL) {
-            count += send_parts(peers, addr, store->name, store->held);
+        if (store->cached_parts != NULL) {
+            count += send_parts(peers, addr, store->name, store->cached_parts);
         }
     }
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         if (!server->removed && server->info.engine) {
-            count += send_parts(peers, addr, server->info.id, server->held);
+            count +=
+                send_parts(peers, addr, server->info.id, server->cached_parts);
         }
     }
     log_record(LOG_INFO, "peers", "told", "to=%s facts=%zu", addr, count);
--- a/relay/prompt.c
+++ b/relay/prompt.c
@@ -98,7 +98,7 @@
  * a hash of its shared parts, or of its only part.  It has no salt, so that
  * the home does not move when weights change. */
 uint64_t
-prompt_home_key(const prompt_t *prompt)
+prompt_affinity_key(const prompt_t *prompt)
 {
     unsigned shared = prompt->count > 1 ? prompt->count - 1 : prompt->count;
     uint64_t chain = 0;
--- a/relay/prompt.h
+++ b/relay/prompt.h
@@ -22,7 +22,7 @@
 void prompt_format_salt(const char *model, int64_t weights,
                         const char *workspace, char out[CS_ID_LEN + 1]);
 uint32_t prompt_shared_tokens(const prompt_t *prompt);
-uint64_t prompt_home_key(const prompt_t *prompt);
+uint64_t prompt_affinity_key(const prompt_t *prompt);
 void prompt_to_levels(const prompt_t *prompt, const char *salt, prefix_t *out);
 
 #endif
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -295,7 +295,7 @@
 {
     quota_advance(quotas, quota, now_ms);
     quota->level -= cost;
-    quota->spent += (uint32_t)cost;
+    quota->total_spent += (uint32_t)cost;
 }
 
 /* Gives back the cost of a request that has not run and never will. */
@@ -304,7 +304,7 @@
 {
     quota_spend(quotas, quota, 0, now_ms);
     quota->level += cost;
-    quota->spent -= (uint32_t)cost;
+    quota->total_spent -= (uint32_t)cost;
 }
 
 /* ---- other hosts ---- */
@@ -466,7 +466,7 @@
     }
     quota_report_t *last = &quota->reports[host - quotas->hosts];
     uint32_t since = last->session == host->session
-                         ? usage->total_spent - last->spent
+                         ? usage->total_spent - last->total_spent
                          : usage->recent_spent;
     double delta = (double)(int32_t)since;
     *last = (quota_report_t){usage->total_spent, host->session};
@@ -502,8 +502,8 @@
     for (size_t i = 0; i < QUOTA_BUCKETS; i++) {
         const quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
-            double unannounced =
-                fabs((double)(int32_t)(quota->spent - quota->announced));
+            double unannounced = fabs((
+                double)(int32_t)(quota->total_spent - quota->announced_spent));
             if (unannounced > UNANNOUNCED_SHARE *
                                   max_excess(quotas, &quota->limit) /
                                   (double)(quotas->host_count + 1)) {
@@ -535,7 +535,7 @@
         size_t bucket = (quotas->next_bucket + i) % QUOTA_BUCKETS;
         quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[bucket], entry) {
-            if (quota->spent == quota->announced) {
+            if (quota->total_spent == quota->announced_spent) {
                 continue;
             }
             if (out->usage_count == PEER_USAGES_MAX) {
@@ -543,9 +543,9 @@
                 return true;
             }
             out->usages[out->usage_count++] =
-                (peer_usage_t){quota->workspace, quota->spent,
-                               quota->spent - quota->announced};
-            quota->announced = quota->spent;
+                (peer_usage_t){quota->workspace, quota->total_spent,
+                               quota->total_spent - quota->announced_spent};
+            quota->announced_spent = quota->total_spent;
         }
     }
     return true;
--- a/relay/quota.h
+++ b/relay/quota.h
@@ -31,8 +31,8 @@
 
 /* What another host last announced for a workspace. */
 typedef struct {
-    uint32_t spent;   /* total of that host, wraps */
-    unsigned session; /* session of the announcement; 0 for none */
+    uint32_t total_spent; /* total of that host, wraps */
+    unsigned session;     /* session of the announcement; 0 for none */
 } quota_report_t;
 
 typedef struct quota {
@@ -40,14 +40,14 @@
     uint64_t workspace; /* hash of its name */
     char name[CS_NAME_MAX];
     quota_limit_t limit;
-    unsigned config_seen; /* config_count when the limit was last set */
-    double level;         /* units in the bucket; negative for a debt */
-    int64_t updated_ms;   /* when the level was last computed */
-    uint32_t spent;       /* total of this host, wraps */
-    uint32_t announced;   /* value of spent in the last announcement */
-    double reserved;      /* units for rejected callers told when to retry */
-    double others_rate;   /* units that other hosts spend in a ms */
-    double others_spent;  /* units of other hosts in the current slice */
+    unsigned config_seen;     /* config_count when the limit was last set */
+    double level;             /* units in the bucket; negative for a debt */
+    int64_t updated_ms;       /* when the level was last computed */
+    uint32_t total_spent;     /* total of this host, wraps */
+    uint32_t announced_spent; /* value of spent in the last announcement */
+    double reserved;     /* units for rejected callers told when to retry */
+    double others_rate;  /* units that other hosts spend in a ms */
+    double others_spent; /* units of other hosts in the current slice */
     int64_t slice_started_ms;
     quota_report_t *reports; /* by index of the host; NULL before the first */
     uint64_t allowed;
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -152,7 +152,7 @@
 cache_follower_t *cache_follower_new(relay_t *relay);
 size_t cache_follower_cache_count(const cache_follower_t *follower);
 void cache_follower_tick(cache_follower_t *follower);
-void cache_follower_part_requested(cache_follower_t *follower, uint64_t key);
+void cache_follower_note_request(cache_follower_t *follower, uint64_t key);
 
 /* ---- weights rollouts ---- */
 
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -504,10 +504,10 @@
         case ANSWER_FAILED:
             request->possible_runs++;
             server_record_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
-            request_attempt_failed(request, SEND_FAILED);
+            request_handle_failed_attempt(request, SEND_FAILED);
             return;
         case ANSWER_REFUSED:
-            request_attempt_failed(request, SEND_REJECTED);
+            request_handle_failed_attempt(request, SEND_REJECTED);
             return;
         case ANSWER_NONE:
         case ANSWER_INVALID:
@@ -515,7 +515,7 @@
     }
     request->possible_runs++;
     server_record_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_attempt_failed(request, SEND_UNKNOWN);
+    request_handle_failed_attempt(request, SEND_UNKNOWN);
 }
 
 static void
@@ -530,7 +530,7 @@
         case EXCHANGE_UNSENT:
             server_record_fault(request->server, SERVER_FAULT_CONNECT,
                                 time_mono_ms());
-            request_attempt_failed(request, SEND_UNSENT);
+            request_handle_failed_attempt(request, SEND_UNSENT);
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
@@ -540,12 +540,12 @@
     }
     /* A refusal counts even if its body was cut off. */
     if (request->answer == ANSWER_REFUSED) {
-        request_attempt_failed(request, SEND_REJECTED);
+        request_handle_failed_attempt(request, SEND_REJECTED);
         return;
     }
     request->possible_runs++;
     server_record_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_attempt_failed(request, SEND_UNKNOWN);
+    request_handle_failed_attempt(request, SEND_UNKNOWN);
 }
 
 static const exchange_hooks_t hooks = {on_head, on_body, on_end, NULL};
--- a/relay/request.c
+++ b/relay/request.c
@@ -32,7 +32,7 @@
 request_caller_disconnected(request_t *request)
 {
     request->caller = NULL;
-    request->outcome = METER_CALLER_LEFT;
+    request->outcome = METER_CALLER_DISCONNECTED;
     request_end(request, "caller-left");
 }
 
@@ -175,14 +175,14 @@
 
 /* An attempt has failed: retries the request or ends it. */
 void
-request_attempt_failed(request_t *request, send_result_t fate)
+request_handle_failed_attempt(request_t *request, send_result_t fate)
 {
     int64_t now = time_mono_ms();
     retry_state_t ask = {
         .kind = request->route->kind,
         .resumable = request->route->resumable,
         .attempts_max = request->route->attempts,
-        .ran = request->possible_runs,
+        .possible_runs = request->possible_runs,
         .sends = request->sends,
         .answer_started = request->phase == REQUEST_STREAMING,
         .within_share = retry_share_can_spend(&request->relay->retry_shares,
@@ -195,9 +195,9 @@
                "left_ms=%lld verdict=%s status=%d",
                request->id,
                request->server != NULL ? request->server->info.id : "-",
-               send_result_name(fate), ask.ran, ask.sends, ask.within_share,
-               (long long)ask.remaining_ms, retry_decision_name(verdict),
-               request->status);
+               send_result_name(fate), ask.possible_runs, ask.sends,
+               ask.within_share, (long long)ask.remaining_ms,
+               retry_decision_name(verdict), request->status);
     request_release_server(request);
     switch (verdict) {
         case RETRY_NOW:
@@ -233,7 +233,7 @@
     exchange_cancel(request->exchange);
     request->exchange = NULL;
     request->possible_runs += sent ? 1 : 0;
-    request_attempt_failed(request, sent ? SEND_UNKNOWN : SEND_UNSENT);
+    request_handle_failed_attempt(request, sent ? SEND_UNKNOWN : SEND_UNSENT);
 }
 
 /* A server does not answer: fails its requests over to other servers.  Those
@@ -483,7 +483,7 @@
     request->engine = service != NULL && service->engine;
     if (request->engine) {
         read_prompt(request);
-        request->affinity_key = prompt_home_key(&request->prompt);
+        request->affinity_key = prompt_affinity_key(&request->prompt);
     }
     set_deadlines(request);
     quota_decision_t quota = request_charge_quota(request);
--- a/relay/request.h
+++ b/relay/request.h
@@ -85,7 +85,7 @@
 bool request_place(request_t *request);
 void request_send(request_t *request, server_t *server);
 void request_release_server(request_t *request);
-void request_attempt_failed(request_t *request, send_result_t fate);
+void request_handle_failed_attempt(request_t *request, send_result_t fate);
 void request_end(request_t *request, const char *outcome);
 void request_deliver(request_t *request, meter_outcome_t outcome,
                      const char *outcome_name);
--- a/relay/retry-rule.c
+++ b/relay/retry-rule.c
@@ -47,22 +47,23 @@
     switch (result) {
         case SEND_UNSENT:
         case SEND_REJECTED:
-            if (can_send && state->ran < state->attempts_max) {
+            if (can_send && state->possible_runs < state->attempts_max) {
                 return RETRY_NOW;
             }
             if (state->answer_started &&
                 state->remaining_ms >= REMAINING_WAIT_MIN_MS &&
                 state->sends < SENDS_STARTED_MAX &&
-                state->ran < state->attempts_max) {
+                state->possible_runs < state->attempts_max) {
                 return RETRY_LATER;
             }
-            return state->ran == 0 && !state->answer_started ? RETRY_REJECT
-                                                             : failure;
+            return state->possible_runs == 0 && !state->answer_started
+                       ? RETRY_REJECT
+                       : failure;
         case SEND_UNKNOWN:
         case SEND_FAILED:
             break;
     }
-    if (can_send && state->ran < state->attempts_max &&
+    if (can_send && state->possible_runs < state->attempts_max &&
         retry_can_rerun(state->kind, state->resumable)) {
         return RETRY_NOW;
     }
--- a/relay/retry-rule.h
+++ b/relay/retry-rule.h
@@ -17,7 +17,7 @@
     route_kind_t kind;
     bool resumable;
     int attempts_max;     /* how many sends may have run */
-    int ran;              /* sends that may have run, including this one */
+    int possible_runs;    /* sends that may have run, including this one */
     int sends;            /* all sends, including this one */
     bool answer_started;  /* part of the answer has been sent to the caller */
     bool within_share;    /* one more retry is within the host's share */
--- a/relay/retry-share.c
+++ b/relay/retry-share.c
@@ -78,8 +78,8 @@
 share_advance(retry_share_t *share, int64_t slice)
 {
     int64_t behind = slice - share->newest_slice;
-    for (int64_t i = 1; i <= behind && i <= RETRY_SLICES_KEPT; i++) {
-        size_t index = (size_t)((share->newest_slice + i) % RETRY_SLICES_KEPT);
+    for (int64_t i = 1; i <= behind && i <= RETRY_SLICES_MAX; i++) {
+        size_t index = (size_t)((share->newest_slice + i) % RETRY_SLICES_MAX);
         share->requests[index] = 0;
         share->retries[index] = 0;
     }
@@ -112,7 +112,7 @@
 retry_share_earn(retry_shares_t *shares, const char *service, int64_t now_ms)
 {
     retry_share_t *share = get_share(shares, service, now_ms);
-    share->requests[share->newest_slice % RETRY_SLICES_KEPT]++;
+    share->requests[share->newest_slice % RETRY_SLICES_MAX]++;
 }
 
 /* Whether one more retry is within the share. */
@@ -121,10 +121,10 @@
                       int64_t now_ms)
 {
     const retry_share_t *share = get_share(shares, service, now_ms);
-    size_t oldest = (size_t)((share->newest_slice + 1) % RETRY_SLICES_KEPT);
+    size_t oldest = (size_t)((share->newest_slice + 1) % RETRY_SLICES_MAX);
     unsigned requests = 0;
     unsigned retries = 0;
-    for (size_t i = 0; i < RETRY_SLICES_KEPT; i++) {
+    for (size_t i = 0; i < RETRY_SLICES_MAX; i++) {
         requests += i != oldest ? share->requests[i] : 0;
         retries += share->retries[i];
     }
@@ -136,5 +136,5 @@
 retry_share_spend(retry_shares_t *shares, const char *service, int64_t now_ms)
 {
     retry_share_t *share = get_share(shares, service, now_ms);
-    share->retries[share->newest_slice % RETRY_SLICES_KEPT]++;
+    share->retries[share->newest_slice % RETRY_SLICES_MAX]++;
 }
--- a/relay/retry-share.h
+++ b/relay/retry-share.h
@@ -9,14 +9,14 @@
 #include <ck_queue.h>
 
 #define RETRY_WINDOW_SLICES 20
-#define RETRY_SLICES_KEPT (RETRY_WINDOW_SLICES + 1)
+#define RETRY_SLICES_MAX (RETRY_WINDOW_SLICES + 1)
 
 typedef struct retry_share {
     CK_SLIST_ENTRY(retry_share) entry;
     char service[CS_NAME_MAX];
-    int64_t newest_slice;                 /* its number, counted from time 0 */
-    unsigned requests[RETRY_SLICES_KEPT]; /* by slice number, as a ring */
-    unsigned retries[RETRY_SLICES_KEPT];  /* by slice number, as a ring */
+    int64_t newest_slice;                /* its number, counted from time 0 */
+    unsigned requests[RETRY_SLICES_MAX]; /* by slice number, as a ring */
+    unsigned retries[RETRY_SLICES_MAX];  /* by slice number, as a ring */
 } retry_share_t;
 
 typedef struct {
--- a/relay/rollout-plan.c
+++ b/relay/rollout-plan.c
@@ -33,7 +33,7 @@
     CK_LIST_FOREACH (server, &servers->list, entry) {
         if (serves_model(server, model)) {
             count++;
-            *ordered += server->ordered ? 1 : 0;
+            *ordered += server->updating ? 1 : 0;
         }
     }
     return count;
@@ -63,8 +63,8 @@
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
         if (!serves_model(server, model) || server->info.weights >= version ||
-            server->ordered || !server_is_usable(server, now_ms) ||
-            now_ms < server->order_after_ms) {
+            server->updating || !server_is_usable(server, now_ms) ||
+            now_ms < server->order_not_before_ms) {
             continue;
         }
         if (best == NULL || comes_before(server, best)) {
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -217,9 +217,9 @@
 {
     server_t *server = servers_find(job->rollout->relay->servers, job->server);
     if (server != NULL) {
-        server->ordered = false;
+        server->updating = false;
         server->loading_until_ms = 0;
-        server->order_after_ms = time_mono_ms() + retry_ms;
+        server->order_not_before_ms = time_mono_ms() + retry_ms;
     }
     if (job->fetch != NULL) {
         fetch_cancel(job->fetch);
@@ -415,7 +415,7 @@
         str_copy(job->server, sizeof(job->server), server->info.id);
         str_copy(job->model, sizeof(job->model), weights->model);
         CK_LIST_INSERT_HEAD(&rollout->jobs, job, entry);
-        server->ordered = true;
+        server->updating = true;
         ordered++;
         job_request_report(job, server);
     }
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -75,11 +75,11 @@
 
 /* Returns the server with a key, or NULL. */
 server_t *
-servers_find_by_key(const servers_t *servers, uint32_t key)
+servers_find_by_id_hash(const servers_t *servers, uint32_t key)
 {
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
-        if (server->key == key && !server->removed) {
+        if (server->id_hash == key && !server->removed) {
             return server;
         }
     }
@@ -132,10 +132,10 @@
         }
         server = mem_zalloc(sizeof(*server));
         server->number = (uint16_t)number;
-        server->key = (uint32_t)str_hash(entry->id, 0);
+        server->id_hash = (uint32_t)str_hash(entry->id, 0);
         servers->numbered[number] = server;
         server->slowness = 1;
-        server->held = cached_parts_new();
+        server->cached_parts = cached_parts_new();
         CK_LIST_INSERT_HEAD(&servers->list, server, entry);
         servers->count++;
     }
@@ -162,7 +162,7 @@
     servers->numbered[server->number] = NULL;
     servers->count--;
     CK_LIST_REMOVE(server, entry);
-    cached_parts_free(server->held);
+    cached_parts_free(server->cached_parts);
     free(server);
 }
 
@@ -399,7 +399,7 @@
 server_add_unshared(server_t *server, uint32_t tokens)
 {
     server->unshared_tokens += tokens;
-    cached_parts_add_unshared(server->held, tokens);
+    cached_parts_add_unshared(server->cached_parts, tokens);
 }
 
 /* Applies the unshared tokens that a host's requests have brought into the
@@ -413,7 +413,7 @@
     int32_t more =
         (int32_t)(report->unshared_tokens - before->unshared_tokens);
     if (more > 0) {
-        cached_parts_add_unshared(server->held, (uint32_t)more);
+        cached_parts_add_unshared(server->cached_parts, (uint32_t)more);
     }
 }
 
@@ -425,7 +425,8 @@
                   const server_peer_load_t *report)
 {
     int32_t more = (int32_t)(report->sent_tokens - before->sent_tokens);
-    if (before->host != report->host || before->sent_tokens == 0 || more < 0) {
+    if (before->host_hash != report->host_hash || before->sent_tokens == 0 ||
+        more < 0) {
         return report->prefill_tokens;
     }
     return more;
@@ -439,7 +440,7 @@
     server_peer_load_t *oldest = &server->peer_loads[0];
     for (size_t i = 0; i < server->peer_load_count; i++) {
         server_peer_load_t *other = &server->peer_loads[i];
-        if (other->host == host) {
+        if (other->host_hash == host) {
             return other;
         }
         if (other->received_ms < oldest->received_ms) {
@@ -456,8 +457,8 @@
 void
 server_apply_peer_load(server_t *server, const server_peer_load_t *report)
 {
-    server_peer_load_t *last = find_peer_load(server, report->host);
-    bool known = last->host == report->host;
+    server_peer_load_t *last = find_peer_load(server, report->host_hash);
+    bool known = last->host_hash == report->host_hash;
     uint32_t sent = known ? last->sent_tokens : 0;
     if (known) {
         apply_unshared_delta(server, last, report);
@@ -475,7 +476,7 @@
 static bool
 is_recent(const server_peer_load_t *other, int64_t now_ms)
 {
-    return other->host != 0 &&
+    return other->host_hash != 0 &&
            now_ms - other->received_ms < PEER_LOAD_VALID_MS;
 }
 
--- a/relay/servers.h
+++ b/relay/servers.h
@@ -45,7 +45,7 @@
 
 /* A host's load at a server, as last announced by that host. */
 typedef struct {
-    uint64_t host; /* hash of the host's address; 0 for none */
+    uint64_t host_hash; /* hash of the host's address; 0 for none */
     int64_t received_ms;
     double prefill_tokens; /* not prefilled yet */
     int running;
@@ -58,13 +58,13 @@
 typedef struct server {
     CK_LIST_ENTRY(server) entry;
     server_entry_t info;
-    int64_t revision;       /* of the platform's entry */
-    bool ordered;           /* this host is changing the server's weights */
-    int64_t order_after_ms; /* no new order before this time */
+    int64_t revision; /* of the platform's entry */
+    bool updating;    /* this host is changing the server's weights */
+    int64_t order_not_before_ms; /* no new order before this time */
     /* No new requests before this time: the server loads weights. */
     int64_t loading_until_ms;
-    uint32_t key;    /* hash of the id, sent to other hosts */
-    uint16_t number; /* in the cache map; reused after removal */
+    uint32_t id_hash; /* hash of the id, sent to other hosts */
+    uint16_t number;  /* in the cache map; reused after removal */
     /* When the entry disappeared from the platform; 0 if it is listed. */
     int64_t missing_since_ms;
     bool removed;       /* no longer listed; freed when no request uses it */
@@ -82,7 +82,7 @@
      * server_update_backlog. */
     double backlog_tokens;
     int64_t backlog_updated_ms;
-    cached_parts_t *held; /* estimated contents of the prefix cache */
+    cached_parts_t *cached_parts; /* estimated contents of the prefix cache */
     /* Total of tokens of this host's requests that no other request shares,
      * modulo 2^32. */
     uint32_t unshared_tokens;
@@ -124,7 +124,7 @@
 void servers_free(servers_t *servers);
 server_t *servers_find(servers_t *servers, const char *id);
 server_t *servers_find_by_number(const servers_t *servers, uint16_t number);
-server_t *servers_find_by_key(const servers_t *servers, uint32_t key);
+server_t *servers_find_by_id_hash(const servers_t *servers, uint32_t key);
 server_t *servers_put(servers_t *servers, const server_entry_t *entry);
 void servers_remove(servers_t *servers, server_t *server);
 void servers_sweep(servers_t *servers);
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -137,15 +137,15 @@
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
     const cached_part_t part = {.key = 5, .prompt_tokens = 70, .tokens = 70};
-    cache_appeared(relay, "a", &part);
-    cache_appeared(relay, "a", &part);
-    cache_appeared(relay, "stranger", &part);
+    cache_note_appeared(relay, "a", &part);
+    cache_note_appeared(relay, "a", &part);
+    cache_note_appeared(relay, "stranger", &part);
     ck_assert_uint_eq(notified, 1);
-    ck_assert(cached_parts_has(server->held, 5));
-    ck_assert(cache_evicted(relay, "a", 5));
-    ck_assert(!cache_evicted(relay, "a", 5));
-    ck_assert(!cache_evicted(relay, "stranger", 5));
-    ck_assert(!cached_parts_has(server->held, 5));
+    ck_assert(cached_parts_has(server->cached_parts, 5));
+    ck_assert(cache_note_evicted(relay, "a", 5));
+    ck_assert(!cache_note_evicted(relay, "a", 5));
+    ck_assert(!cache_note_evicted(relay, "stranger", 5));
+    ck_assert(!cached_parts_has(server->cached_parts, 5));
     relay_free(relay);
 }
 END_TEST
@@ -159,10 +159,10 @@
         .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
-    ck_assert(cached_parts_has(server->held, 5));
+    ck_assert(cached_parts_has(server->cached_parts, 5));
     fact.held = false;
     peers_apply(relay, 1, &fact);
-    ck_assert(!cached_parts_has(server->held, 5));
+    ck_assert(!cached_parts_has(server->cached_parts, 5));
     relay_free(relay);
 }
 END_TEST
@@ -179,12 +179,12 @@
     uint64_t key = prompt_part_key(prompt_part_hash("5c1e", 4), "s1");
     cache_event_apply(relay, unrequested, "a", &event);
     ck_assert_uint_eq(notified, 0);
-    ck_assert(!cached_parts_has(server->held, key));
+    ck_assert(!cached_parts_has(server->cached_parts, key));
     cache_event_note_request(relay, unrequested, "a", key + 1);
     ck_assert_uint_eq(notified, 0);
     cache_event_note_request(relay, unrequested, "a", key);
     ck_assert_uint_eq(notified, 1);
-    ck_assert(cached_parts_has(server->held, key));
+    ck_assert(cached_parts_has(server->cached_parts, key));
     cache_event_note_request(relay, unrequested, "a", key);
     cache_event_apply(relay, unrequested, "a", &event);
     ck_assert_uint_eq(notified, 1);
@@ -192,7 +192,7 @@
     event.tokens = 0;
     cache_event_apply(relay, unrequested, "a", &event);
     ck_assert_uint_eq(notified, 2);
-    ck_assert(!cached_parts_has(server->held, key));
+    ck_assert(!cached_parts_has(server->cached_parts, key));
     cached_parts_free(unrequested);
     relay_free(relay);
 }
@@ -256,27 +256,27 @@
     rng_t rng = {5};
     unsigned wrong = 0;
     cached_parts_set_capacity(truth, CAPACITY_TOKENS);
-    cached_parts_set_capacity(server->held, CAPACITY_TOKENS);
+    cached_parts_set_capacity(server->cached_parts, CAPACITY_TOKENS);
     for (unsigned step = 0; step < STEPS; step++) {
         uint64_t key = 1 + rng_below(&rng, PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
         bool own = rng_below(&rng, 4) == 0;
-        wrong += own && cached_parts_has(server->held, key) &&
+        wrong += own && cached_parts_has(server->cached_parts, key) &&
                  !cached_parts_has(truth, key);
         cached_parts_use(truth, &part);
         cached_parts_add_unshared(truth, UNSHARED_TOKENS);
         if (own) {
-            cached_parts_use(server->held, &part);
-            cached_parts_add_unshared(server->held, UNSHARED_TOKENS);
+            cached_parts_use(server->cached_parts, &part);
+            cached_parts_add_unshared(server->cached_parts, UNSHARED_TOKENS);
         }
         for (uint64_t other_key = 1; follows && other_key <= PARTS;
              other_key++) {
             const cached_part_t seen = {other_key, PART_TOKENS, PART_TOKENS};
             if (cached_parts_has(truth, other_key)) {
-                cache_appeared(relay, "a", &seen);
+                cache_note_appeared(relay, "a", &seen);
             }
             else {
-                (void)cache_evicted(relay, "a", other_key);
+                (void)cache_note_evicted(relay, "a", other_key);
             }
         }
     }
--- a/tests/test-cache-source.c
+++ b/tests/test-cache-source.c
@@ -60,7 +60,7 @@
 put_part(relay_t *relay, server_t *server, uint64_t key)
 {
     const cached_part_t part = {.key = key, .prompt_tokens = 1, .tokens = 1};
-    cached_parts_use(server->held, &part);
+    cached_parts_use(server->cached_parts, &part);
     (void)cache_map_add_holder_at(relay->cache_map, server->number, key, 1,
                                   time_mono_ms());
     server_confirm_alive(server, time_mono_ms());
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -80,22 +80,22 @@
     servers_t *servers = servers_new();
     server_entry_t entry = {.id = "a", .service = "s", .addr = "127.0.0.1:1"};
     server_t *server = servers_put(servers, &entry);
-    cached_parts_set_capacity(server->held, 1000);
-    use(server->held, 1, 500);
+    cached_parts_set_capacity(server->cached_parts, 1000);
+    use(server->cached_parts, 1, 500);
     server_peer_load_t report = {
-        .host = 9, .received_ms = 1, .unshared_tokens = UINT32_MAX - 10};
+        .host_hash = 9, .received_ms = 1, .unshared_tokens = UINT32_MAX - 10};
     server_apply_peer_load(server, &report);
-    ck_assert(cached_parts_has(server->held, 1));
+    ck_assert(cached_parts_has(server->cached_parts, 1));
     report.unshared_tokens += 400;
     server_apply_peer_load(server, &report);
-    ck_assert(cached_parts_has(server->held, 1));
+    ck_assert(cached_parts_has(server->cached_parts, 1));
     report.unshared_tokens += 700;
     server_apply_peer_load(server, &report);
-    ck_assert(!cached_parts_has(server->held, 1));
-    use(server->held, 2, 500);
+    ck_assert(!cached_parts_has(server->cached_parts, 1));
+    use(server->cached_parts, 2, 500);
     report.unshared_tokens = 5;
     server_apply_peer_load(server, &report);
-    ck_assert(cached_parts_has(server->held, 2));
+    ck_assert(cached_parts_has(server->cached_parts, 2));
     servers_free(servers);
 }
 END_TEST
--- a/tests/test-kv-stores.c
+++ b/tests/test-kv-stores.c
@@ -46,14 +46,15 @@
         uint64_t key = part_key(i % PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
         int index = kv_stores_choose(stores, key);
-        cached_parts_use(stores->all[index].held, &part);
+        cached_parts_use(stores->all[index].cached_parts, &part);
     }
     for (unsigned i = 0; i < PARTS; i++) {
         uint64_t key = part_key(i);
-        kept += cached_parts_has(
-                    stores->all[kv_stores_choose(stores, key)].held, key)
-                    ? 1
-                    : 0;
+        kept +=
+            cached_parts_has(
+                stores->all[kv_stores_choose(stores, key)].cached_parts, key)
+                ? 1
+                : 0;
     }
     return kept;
 }
@@ -97,7 +98,7 @@
             &stores.all[kv_stores_choose(&stores, part_key(i))];
         if (strcmp(before[i], "kept-1") != 0) {
             ck_assert_str_eq(store->name, before[i]);
-            ck_assert(cached_parts_has(store->held, part_key(i)));
+            ck_assert(cached_parts_has(store->cached_parts, part_key(i)));
         }
     }
     kv_stores_free(&stores);
--- a/tests/test-peer-loads.c
+++ b/tests/test-peer-loads.c
@@ -106,7 +106,7 @@
     servers_t *servers = servers_new();
     server_t *server = add_engine(servers, "e1");
     datagram.loads[0] =
-        (peer_load_t){.server_hash = server->key + 1, .prefill_tokens = 5};
+        (peer_load_t){.server_hash = server->id_hash + 1, .prefill_tokens = 5};
     peer_loads_apply(servers, 1, &datagram, 10);
     ck_assert_double_eq(server_sum_peer_prefill(server, 10), 0);
     servers_free(servers);
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -46,11 +46,11 @@
         .key = 5, .prefix_tokens = 700, .part_tokens = 300, .held = true};
     str_copy(fact.backend, sizeof(fact.backend), "a");
     peers_apply(relay, 1, &fact);
-    ck_assert(cached_parts_has(server->held, 5));
+    ck_assert(cached_parts_has(server->cached_parts, 5));
     fact.key = 6;
     fact.part_tokens = 0;
     peers_apply(relay, 1, &fact);
-    ck_assert(!cached_parts_has(server->held, 6));
+    ck_assert(!cached_parts_has(server->cached_parts, 6));
     ck_assert(cache_map_has_key(relay->cache_map, 6));
     relay_free(relay);
 }
@@ -70,7 +70,7 @@
     peers_apply(relay, 1, &fact);
     peer_fact_t load = make_load("b");
     peers_apply(relay, 1, &load);
-    ck_assert(!cached_parts_has(server->held, 5));
+    ck_assert(!cached_parts_has(server->cached_parts, 5));
     ck_assert(!cache_map_has_key(relay->cache_map, 5));
     relay_free(relay);
 }
@@ -84,7 +84,7 @@
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
     const cached_part_t part = {.key = 5, .prompt_tokens = 9, .tokens = 9};
-    cached_parts_use(server->held, &part);
+    cached_parts_use(server->cached_parts, &part);
     peer_fact_t load = make_load("a");
     load.load.running = 2;
     load.load.total_requests = 6;
@@ -94,13 +94,13 @@
     ck_assert_int_gt(server->loading_until_ms, time_mono_ms());
     ck_assert_int_eq(server_count_running(server, time_mono_ms()), 2);
     ck_assert_int_eq(server_count_in_flight(server, time_mono_ms()), 6);
-    ck_assert(cached_parts_has(server->held, 5));
+    ck_assert(cached_parts_has(server->cached_parts, 5));
     load = make_load("a");
     str_copy(load.load.version, sizeof(load.load.version), "2");
     peers_apply(relay, 1, &load);
     ck_assert_int_eq(server->loading_until_ms, 0);
     ck_assert_int_eq(server->info.weights, 2);
-    ck_assert(!cached_parts_has(server->held, 5));
+    ck_assert(!cached_parts_has(server->cached_parts, 5));
     relay_free(relay);
 }
 END_TEST
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -491,7 +491,7 @@
     sim_run(sim, 21250, 23000);
     ck_assert_double_eq_tol(quota_available(&sim->quotas[1], there, 23000),
                             full, 1);
-    ck_assert_uint_eq(here->spent, 0);
+    ck_assert_uint_eq(here->total_spent, 0);
     sim_free(sim);
 }
 END_TEST
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -29,7 +29,8 @@
 {
     servers_t *servers = servers_new();
     server_t *server = server_add(servers, 1);
-    server_peer_load_t report = {.host = 7, .received_ms = 1000, .running = 1};
+    server_peer_load_t report = {
+        .host_hash = 7, .received_ms = 1000, .running = 1};
     server_apply_peer_load(server, &report);
     server_add_request(server, 0, 1000);
     ck_assert(!rollout_can_order(server, 1000, 1100));
@@ -65,7 +66,7 @@
     server_t *server;
     while (ordered < rollout_limit(count) &&
            (server = rollout_pick(servers, "m", 2, now)) != NULL) {
-        server->ordered = true;
+        server->updating = true;
         ordered++;
         for (int i = 0; i < SERVERS; i++) {
             if (all[i].server == server) {
@@ -95,7 +96,7 @@
                              : STEP_MS;
     if (sim->load_left_ms <= 0) {
         sim->server->info.weights = 2;
-        sim->server->ordered = false;
+        sim->server->updating = false;
     }
 }
 
