--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -593,8 +593,8 @@
     }
     if (request->sends++ > 0) {
         relay->meter.retries++;
-        retry_share_spend(&relay->retry_shares, request->service,
-                          request->sent_ms);
+        retry_share_count_retry(&relay->retry_shares, request->service,
+                                request->sent_ms);
     }
     relay->meter.sends++;
     exchange_request_t ask = {
--- a/relay/request.c
+++ b/relay/request.c
@@ -185,7 +185,7 @@
         .possible_runs = request->possible_runs,
         .sends = request->sends,
         .answer_started = request->phase == REQUEST_STREAMING,
-        .within_share = retry_share_can_spend(&request->relay->retry_shares,
+        .within_share = retry_share_can_retry(&request->relay->retry_shares,
                                               request->service, now),
         .remaining_ms = request->deadline_ms - now,
     };
@@ -295,7 +295,7 @@
         /* Placement after a first attempt is a retry and needs a share. */
         if (request->server != NULL || now < request->not_before_ms ||
             (request->sends > 0 && now < request->placement_deadline_ms &&
-             !retry_share_can_spend(&relay->retry_shares, request->service,
+             !retry_share_can_retry(&relay->retry_shares, request->service,
                                     now))) {
             continue;
         }
@@ -491,8 +491,8 @@
         refuse_with_status(request, 429, "quota", quota.retry_after_ms);
         return;
     }
-    retry_share_earn(&relay->retry_shares, request->service,
-                     request->received_ms);
+    retry_share_count_request(&relay->retry_shares, request->service,
+                              request->received_ms);
     caller_set_owner(caller, request);
     (void)request_place(request);
 }
--- a/relay/retry-share.c
+++ b/relay/retry-share.c
@@ -109,7 +109,8 @@
 
 /* Counts a request for a service. */
 void
-retry_share_earn(retry_shares_t *shares, const char *service, int64_t now_ms)
+retry_share_count_request(retry_shares_t *shares, const char *service,
+                          int64_t now_ms)
 {
     retry_share_t *share = get_share(shares, service, now_ms);
     share->requests[share->newest_slice % RETRY_SLICES_MAX]++;
@@ -117,7 +118,7 @@
 
 /* Whether one more retry is within the share. */
 bool
-retry_share_can_spend(retry_shares_t *shares, const char *service,
+retry_share_can_retry(retry_shares_t *shares, const char *service,
                       int64_t now_ms)
 {
     const retry_share_t *share = get_share(shares, service, now_ms);
@@ -133,7 +134,8 @@
 
 /* Counts a retry that was sent. */
 void
-retry_share_spend(retry_shares_t *shares, const char *service, int64_t now_ms)
+retry_share_count_retry(retry_shares_t *shares, const char *service,
+                        int64_t now_ms)
 {
     retry_share_t *share = get_share(shares, service, now_ms);
     share->retries[share->newest_slice % RETRY_SLICES_MAX]++;
--- a/relay/retry-share.h
+++ b/relay/retry-share.h
@@ -40,11 +40,11 @@
 void retry_shares_init(retry_shares_t *shares, double ratio,
                        int64_t window_ms);
 void retry_shares_free(retry_shares_t *shares);
-void retry_share_earn(retry_shares_t *shares, const char *service,
-                      int64_t now_ms);
-bool retry_share_can_spend(retry_shares_t *shares, const char *service,
+void retry_share_count_request(retry_shares_t *shares, const char *service,
+                               int64_t now_ms);
+bool retry_share_can_retry(retry_shares_t *shares, const char *service,
                            int64_t now_ms);
-void retry_share_spend(retry_shares_t *shares, const char *service,
-                       int64_t now_ms);
+void retry_share_count_retry(retry_shares_t *shares, const char *service,
+                             int64_t now_ms);
 
 #endif
--- a/tests/test-retry-share.c
+++ b/tests/test-retry-share.c
@@ -24,11 +24,11 @@
             requests[ms] = rng_below(&rng, 100) < (busy ? 10 : 1);
             retries[ms] = 0;
             if (requests[ms] > 0) {
-                retry_share_earn(&shares, "s", ms);
+                retry_share_count_request(&shares, "s", ms);
             }
             if (rng_below(&rng, 100) < 10 &&
-                retry_share_can_spend(&shares, "s", ms)) {
-                retry_share_spend(&shares, "s", ms);
+                retry_share_can_retry(&shares, "s", ms)) {
+                retry_share_count_retry(&shares, "s", ms);
                 retries[ms] = 1;
             }
         }
@@ -83,12 +83,12 @@
             bool busy = ms / 7000 % 2 == 0;
             bool outage = rng_below(&rng, 4000) == 0 || ms % 9700 < 200;
             bool requested = rng_below(&rng, 100) < (busy ? 10 : 1);
-            bool retried = outage && retry_share_can_spend(&shares, "s", ms);
+            bool retried = outage && retry_share_can_retry(&shares, "s", ms);
             if (requested) {
-                retry_share_earn(&shares, "s", ms);
+                retry_share_count_request(&shares, "s", ms);
             }
             if (retried) {
-                retry_share_spend(&shares, "s", ms);
+                retry_share_count_retry(&shares, "s", ms);
             }
             requests[ms + 1] = requests[ms] + (requested ? 1 : 0);
             retries[ms + 1] = retries[ms] + (retried ? 1 : 0);
@@ -150,11 +150,11 @@
     for (int i = 0; i < 2; i++) {
         bool first = rng_below(rng, 100) < 40;
         if (first) {
-            retry_share_earn(&host->shares, "s", now);
+            retry_share_count_request(&host->shares, "s", now);
             (*requested)++;
         }
-        if (outage && retry_share_can_spend(&host->shares, "s", now)) {
-            retry_share_spend(&host->shares, "s", now);
+        if (outage && retry_share_can_retry(&host->shares, "s", now)) {
+            retry_share_count_retry(&host->shares, "s", now);
             sent++;
         }
     }
@@ -227,9 +227,9 @@
     retry_shares_t shares;
     retry_shares_init(&shares, 0, WINDOW_MS);
     shares.slack = 1;
-    retry_share_spend(&shares, "s", 499);
-    ck_assert(!retry_share_can_spend(&shares, "s", 499 + WINDOW_MS - 1));
-    ck_assert(retry_share_can_spend(&shares, "s", 499 + WINDOW_MS + 501));
+    retry_share_count_retry(&shares, "s", 499);
+    ck_assert(!retry_share_can_retry(&shares, "s", 499 + WINDOW_MS - 1));
+    ck_assert(retry_share_can_retry(&shares, "s", 499 + WINDOW_MS + 501));
     retry_shares_free(&shares);
 }
 END_TEST
@@ -239,11 +239,11 @@
     retry_shares_t shares;
     retry_shares_init(&shares, 0, WINDOW_MS);
     shares.slack = 1;
-    ck_assert(retry_share_can_spend(&shares, "a", 5));
-    retry_share_spend(&shares, "a", 5);
-    ck_assert(!retry_share_can_spend(&shares, "a", 6));
-    ck_assert(retry_share_can_spend(&shares, "b", 6));
-    ck_assert(retry_share_can_spend(&shares, "a", 6 + WINDOW_MS + 500));
+    ck_assert(retry_share_can_retry(&shares, "a", 5));
+    retry_share_count_retry(&shares, "a", 5);
+    ck_assert(!retry_share_can_retry(&shares, "a", 6));
+    ck_assert(retry_share_can_retry(&shares, "b", 6));
+    ck_assert(retry_share_can_retry(&shares, "a", 6 + WINDOW_MS + 500));
     retry_shares_free(&shares);
 }
 END_TEST
