--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -32,140 +32,141 @@
  * them. */
 #define UNREQUESTED_TOKENS_MAX (64 << 20)
 
-typedef struct follow {
-    CK_LIST_ENTRY(follow) entry;
-    cache_follower_t *follows;
+typedef struct followed_cache {
+    CK_LIST_ENTRY(followed_cache) entry;
+    cache_follower_t *follower;
     char holder[CS_NAME_MAX]; /* a server's id or a kv store's name */
     char addr[CS_ADDR_MAX];
     cached_parts_t *unrequested; /* held parts that no known request has */
-    bool listed;                 /* place is valid */
-    cache_position_t place;
+    bool listed;                 /* position is valid */
+    cache_position_t position;
     int64_t next_ms; /* time of the next call */
     fetch_t *fetch;  /* NULL if no call is in flight */
-    bool lost;       /* the last call failed */
-    unsigned round;  /* of the assignment that last had this cache */
-} follow_t;
+    bool call_failed;
+    unsigned round; /* of the last assignment that had this cache */
+} followed_cache_t;
 
 struct cache_follower {
     relay_t *relay;
-    CK_LIST_HEAD(follow_list, follow) list;
+    CK_LIST_HEAD(followed_caches, followed_cache) list;
     unsigned round;         /* number of assignments so far */
     int64_t next_assign_ms; /* time of the next assignment */
 };
 
 static void
-follow_free(follow_t *follow)
+followed_cache_free(followed_cache_t *cache)
 {
-    if (follow->fetch != NULL) {
-        fetch_cancel(follow->fetch);
+    if (cache->fetch != NULL) {
+        fetch_cancel(cache->fetch);
     }
-    CK_LIST_REMOVE(follow, entry);
-    cached_parts_free(follow->unrequested);
-    free(follow);
+    CK_LIST_REMOVE(cache, entry);
+    cached_parts_free(cache->unrequested);
+    free(cache);
 }
 
 static void
 on_event(void *arg, const cache_event_t *event)
 {
-    const follow_t *follow = arg;
-    cache_event_apply(follow->follows->relay, follow->unrequested,
-                      follow->holder, event);
+    const followed_cache_t *cache = arg;
+    cache_event_apply(cache->follower->relay, cache->unrequested,
+                      cache->holder, event);
 }
 
 /* Records that a request here or at another daemon has a part. */
 void
-cache_follower_note_request(cache_follower_t *follows, uint64_t key)
+cache_follower_note_request(cache_follower_t *follower, uint64_t key)
 {
-    const follow_t *follow;
-    if (follows == NULL) {
+    const followed_cache_t *cache;
+    if (follower == NULL) {
         return;
     }
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
-        cache_event_note_request(follows->relay, follow->unrequested,
-                                 follow->holder, key);
+    CK_LIST_FOREACH (cache, &follower->list, entry) {
+        cache_event_note_request(follower->relay, cache->unrequested,
+                                 cache->holder, key);
     }
 }
 
 static bool
-apply_answer(follow_t *follow, const fetch_result_t *result)
+apply_answer(followed_cache_t *cache, const fetch_result_t *result)
 {
     err_t err = {0};
-    cache_position_t place = {0};
-    bool listing = !follow->listed;
+    cache_position_t position = {0};
+    bool listing = !cache->listed;
     if (listing) {
-        cached_parts_clear(follow->unrequested);
+        cached_parts_clear(cache->unrequested);
     }
     if (!result->complete || result->status != 200) {
         return false;
     }
     int status =
-        listing ? platform_cache_list_read(&place, result->text, result->len,
-                                           on_event, follow, &err)
-                : platform_cache_events_read(&place, result->text, result->len,
-                                             on_event, follow, &err);
+        listing
+            ? platform_cache_list_read(&position, result->text, result->len,
+                                       on_event, cache, &err)
+            : platform_cache_events_read(&position, result->text, result->len,
+                                         on_event, cache, &err);
     if (status != 0) {
-        log_warn("cache", "Invalid cache answer from %s: %s.", follow->holder,
+        log_warn("cache", "Invalid cache answer from %s: %s.", cache->holder,
                  err.text);
         return false;
     }
     if (listing) {
         log_record(LOG_INFO, "cache", "listed",
-                   "holder=%s epoch=%lld next=%lld", follow->holder,
-                   (long long)place.epoch, (long long)place.next);
+                   "holder=%s epoch=%lld next=%lld", cache->holder,
+                   (long long)position.epoch, (long long)position.next);
     }
-    follow->listed =
-        listing || (!place.gap && place.epoch == follow->place.epoch);
-    follow->place = place;
+    cache->listed =
+        listing || (!position.gap && position.epoch == cache->position.epoch);
+    cache->position = position;
     return true;
 }
 
 static void
 on_done(void *arg, const fetch_result_t *result)
 {
-    follow_t *follow = arg;
+    followed_cache_t *cache = arg;
     int64_t now = time_mono_ms();
-    bool valid = apply_answer(follow, result);
-    follow->fetch = NULL;
-    if (follow->lost == valid) {
+    bool valid = apply_answer(cache, result);
+    cache->fetch = NULL;
+    if (cache->call_failed == valid) {
         log_record(valid ? LOG_INFO : LOG_WARN, "cache",
                    valid ? "followed-again" : "lost",
-                   "holder=%s addr=%s status=%d", follow->holder, follow->addr,
+                   "holder=%s addr=%s status=%d", cache->holder, cache->addr,
                    result->status);
     }
-    follow->lost = !valid;
-    follow->next_ms = !valid           ? now + RETRY_MS
-                      : follow->listed ? now + POLL_PAUSE_MS
-                                       : now;
+    cache->call_failed = !valid;
+    cache->next_ms = !valid          ? now + RETRY_MS
+                     : cache->listed ? now + POLL_PAUSE_MS
+                                     : now;
 }
 
 static void
-start_call(follow_t *follow)
+start_call(followed_cache_t *cache)
 {
     CLEAN_BUF buf_t head = {0};
-    fetch_options_t params = {.addr = follow->addr,
+    fetch_options_t params = {.addr = cache->addr,
                               .request = &head,
                               .connect_ms = CONNECT_TIMEOUT_MS,
                               .total_ms = LIST_TIMEOUT_MS,
                               .on_done = on_done,
-                              .arg = follow};
-    if (follow->listed) {
-        platform_cache_events_call(&head, follow->addr, follow->place.next,
+                              .arg = cache};
+    if (cache->listed) {
+        platform_cache_events_call(&head, cache->addr, cache->position.next,
                                    EVENTS_WAIT_MS);
         params.total_ms = EVENTS_WAIT_MS + EVENTS_MARGIN_MS;
     }
     else {
-        platform_cache_list_call(&head, follow->addr);
+        platform_cache_list_call(&head, cache->addr);
     }
-    follow->fetch = fetch_start(follow->follows->relay->exchanges, &params);
+    cache->fetch = fetch_start(cache->follower->relay->exchanges, &params);
 }
 
-static follow_t *
-follow_find(cache_follower_t *follows, const char *holder)
+static followed_cache_t *
+followed_cache_find(cache_follower_t *follower, const char *holder)
 {
-    follow_t *follow;
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
-        if (strcmp(follow->holder, holder) == 0) {
-            return follow;
+    followed_cache_t *cache;
+    CK_LIST_FOREACH (cache, &follower->list, entry) {
+        if (strcmp(cache->holder, holder) == 0) {
+            return cache;
         }
     }
     return NULL;
@@ -173,50 +174,50 @@
 
 /* Follows a holder if it is assigned to this daemon. */
 static void
-assign_holder(cache_follower_t *follows, const char *holder, const char *addr)
+assign_holder(cache_follower_t *follower, const char *holder, const char *addr)
 {
-    if (!peers_has_duty(follows->relay->peers, holder)) {
+    if (!peers_has_duty(follower->relay->peers, holder)) {
         return;
     }
-    follow_t *follow = follow_find(follows, holder);
-    if (follow == NULL) {
-        follow = mem_zalloc(sizeof(*follow));
-        follow->follows = follows;
-        follow->unrequested = cached_parts_new();
-        cached_parts_set_capacity(follow->unrequested, UNREQUESTED_TOKENS_MAX);
-        str_copy(follow->holder, sizeof(follow->holder), holder);
-        CK_LIST_INSERT_HEAD(&follows->list, follow, entry);
+    followed_cache_t *cache = followed_cache_find(follower, holder);
+    if (cache == NULL) {
+        cache = mem_zalloc(sizeof(*cache));
+        cache->follower = follower;
+        cache->unrequested = cached_parts_new();
+        cached_parts_set_capacity(cache->unrequested, UNREQUESTED_TOKENS_MAX);
+        str_copy(cache->holder, sizeof(cache->holder), holder);
+        CK_LIST_INSERT_HEAD(&follower->list, cache, entry);
     }
-    if (strcmp(follow->addr, addr) != 0) {
-        str_copy(follow->addr, sizeof(follow->addr), addr);
-        follow->listed = false;
+    if (strcmp(cache->addr, addr) != 0) {
+        str_copy(cache->addr, sizeof(cache->addr), addr);
+        cache->listed = false;
     }
-    follow->round = follows->round;
+    cache->round = follower->round;
 }
 
 /* Recomputes which caches this daemon follows. */
 static void
-assign_all(cache_follower_t *follows)
+assign_all(cache_follower_t *follower)
 {
-    const relay_t *relay = follows->relay;
+    const relay_t *relay = follower->relay;
     const server_t *server;
     const relay_service_t *service;
-    follow_t *follow;
-    follow_t *next;
-    follows->round++;
+    followed_cache_t *cache;
+    followed_cache_t *next;
+    follower->round++;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         if (server->info.engine && !server->removed) {
-            assign_holder(follows, server->info.id, server->info.addr);
+            assign_holder(follower, server->info.id, server->info.addr);
         }
     }
     CK_SLIST_FOREACH (service, &relay->config->services, entry) {
         if (service->kv_store) {
-            assign_holder(follows, service->name, service->addr);
+            assign_holder(follower, service->name, service->addr);
         }
     }
-    CK_LIST_FOREACH_SAFE (follow, &follows->list, entry, next) {
-        if (follow->round != follows->round) {
-            follow_free(follow);
+    CK_LIST_FOREACH_SAFE (cache, &follower->list, entry, next) {
+        if (cache->round != follower->round) {
+            followed_cache_free(cache);
         }
     }
 }
@@ -224,20 +225,20 @@
 cache_follower_t *
 cache_follower_new(relay_t *relay)
 {
-    cache_follower_t *follows = mem_zalloc(sizeof(*follows));
-    follows->relay = relay;
-    follows->next_assign_ms = time_mono_ms() + START_DELAY_MS;
-    CK_LIST_INIT(&follows->list);
-    return follows;
+    cache_follower_t *follower = mem_zalloc(sizeof(*follower));
+    follower->relay = relay;
+    follower->next_assign_ms = time_mono_ms() + START_DELAY_MS;
+    CK_LIST_INIT(&follower->list);
+    return follower;
 }
 
 /* Returns the number of caches that this daemon follows. */
 size_t
-cache_follower_cache_count(const cache_follower_t *follows)
+cache_follower_cache_count(const cache_follower_t *follower)
 {
-    const follow_t *follow;
+    const followed_cache_t *cache;
     size_t count = 0;
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
+    CK_LIST_FOREACH (cache, &follower->list, entry) {
         count++;
     }
     return count;
@@ -245,20 +246,20 @@
 
 /* Reassigns caches when that is due and starts the calls that are due. */
 void
-cache_follower_tick(cache_follower_t *follows)
+cache_follower_tick(cache_follower_t *follower)
 {
     int64_t now = time_mono_ms();
-    follow_t *follow;
-    if (!follows->relay->servers_listed || follows->relay->config == NULL) {
+    followed_cache_t *cache;
+    if (!follower->relay->servers_listed || follower->relay->config == NULL) {
         return;
     }
-    if (now >= follows->next_assign_ms) {
-        follows->next_assign_ms = now + ASSIGN_INTERVAL_MS;
-        assign_all(follows);
+    if (now >= follower->next_assign_ms) {
+        follower->next_assign_ms = now + ASSIGN_INTERVAL_MS;
+        assign_all(follower);
     }
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
-        if (follow->fetch == NULL && now >= follow->next_ms) {
-            start_call(follow);
+    CK_LIST_FOREACH (cache, &follower->list, entry) {
+        if (cache->fetch == NULL && now >= cache->next_ms) {
+            start_call(cache);
         }
     }
 }
--- a/relay/cache-source.c
+++ b/relay/cache-source.c
@@ -135,11 +135,11 @@
 /* Returns the first level from a given one on that is not held, or the end:
  * parts after a missing one cannot be used. */
 static unsigned
-levels_held_until(const cached_parts_t *held, const prefix_t *prefix,
+levels_held_until(const cached_parts_t *parts, const prefix_t *prefix,
                   unsigned from, unsigned to)
 {
     unsigned level = from;
-    while (level < to && cached_parts_has(held, prefix->levels[level].key)) {
+    while (level < to && cached_parts_has(parts, prefix->levels[level].key)) {
         level++;
     }
     return level;
@@ -149,8 +149,8 @@
 holder_has_levels(const relay_t *relay, uint16_t number,
                   const prefix_t *prefix, unsigned from, unsigned to)
 {
-    const cached_parts_t *held = holder_parts(relay, number);
-    return held != NULL && levels_held_until(held, prefix, from, to) == to;
+    const cached_parts_t *parts = holder_parts(relay, number);
+    return parts != NULL && levels_held_until(parts, prefix, from, to) == to;
 }
 
 static const relay_service_t *
@@ -233,17 +233,20 @@
 {
     int64_t now = time_mono_ms();
     unsigned shared = shared_levels(prefix);
-    unsigned held = levels_held_until(server->cached_parts, prefix, 0, shared);
+    unsigned held_levels =
+        levels_held_until(server->cached_parts, prefix, 0, shared);
     memset(out, 0, sizeof(*out));
     out->shared_tokens = shared > 0 ? prefix->levels[shared - 1].tokens : 0;
-    out->held_tokens = held > 0 ? prefix->levels[held - 1].tokens : 0;
+    out->held_tokens =
+        held_levels > 0 ? prefix->levels[held_levels - 1].tokens : 0;
     uint32_t pending = pending_tokens(relay, prefix, server, now);
     out->held_tokens = pending > out->held_tokens ? pending : out->held_tokens;
-    for (unsigned i = shared; i > held && !out->found; i--) {
+    for (unsigned i = shared; i > held_levels && !out->found; i--) {
         if (prefix->levels[i - 1].tokens <= out->held_tokens) {
             return;
         }
-        out->found = find_source(relay, prefix, held, i, server, &out->source);
+        out->found =
+            find_source(relay, prefix, held_levels, i, server, &out->source);
     }
 }
 
@@ -301,10 +304,10 @@
 cache_note_held(relay_t *relay, const prefix_t *prefix, uint16_t number)
 {
     int64_t now = time_mono_ms();
-    cached_parts_t *held = holder_parts(relay, number);
-    for (unsigned i = shared_levels(prefix); i > 0 && held != NULL; i--) {
+    cached_parts_t *parts = holder_parts(relay, number);
+    for (unsigned i = shared_levels(prefix); i > 0 && parts != NULL; i--) {
         const cached_part_t part = part_of(prefix, i - 1);
-        cached_parts_use(held, &part);
+        cached_parts_use(parts, &part);
         if (cache_map_add_holder_at(relay->cache_map, number, part.key,
                                     part.prompt_tokens, now)) {
             relay->notify_part(relay->peers, holder_name(relay, number), &part,
@@ -333,12 +336,12 @@
                     const cached_part_t *part)
 {
     int number = holder_number(relay, holder);
-    cached_parts_t *held =
+    cached_parts_t *parts =
         number >= 0 ? holder_parts(relay, (uint16_t)number) : NULL;
-    if (held == NULL || cached_parts_has(held, part->key)) {
+    if (parts == NULL || cached_parts_has(parts, part->key)) {
         return;
     }
-    cached_parts_use(held, part);
+    cached_parts_use(parts, part);
     (void)cache_map_add_holder_at(relay->cache_map, (uint16_t)number,
                                   part->key, part->prompt_tokens,
                                   time_mono_ms());
@@ -352,12 +355,12 @@
 cache_note_evicted(relay_t *relay, const char *holder, uint64_t key)
 {
     int number = holder_number(relay, holder);
-    cached_parts_t *held =
+    cached_parts_t *parts =
         number >= 0 ? holder_parts(relay, (uint16_t)number) : NULL;
-    if (held == NULL || !cached_parts_has(held, key)) {
+    if (parts == NULL || !cached_parts_has(parts, key)) {
         return false;
     }
-    cached_parts_remove(held, key);
+    cached_parts_remove(parts, key);
     (void)cache_map_remove_holder(relay->cache_map, (uint16_t)number, key);
     return true;
 }
@@ -465,7 +468,8 @@
     if (to == NULL || shared == 0) {
         return false;
     }
-    unsigned kept = levels_held_until(store->cached_parts, prefix, 0, shared);
+    unsigned held_levels =
+        levels_held_until(store->cached_parts, prefix, 0, shared);
     uint32_t total = prefix->levels[shared - 1].tokens;
     bool known_size = from != NULL && from->bytes_per_token > 0;
     save_params_t params = {
@@ -476,7 +480,8 @@
         .hosts = peers_live_count(relay->peers),
         .same_dc = strcmp(to->dc, server->info.dc) == 0,
         .shared_tokens =
-            total - (kept > 0 ? prefix->levels[kept - 1].tokens : 0),
+            total -
+            (held_levels > 0 ? prefix->levels[held_levels - 1].tokens : 0),
         .unshared_tokens = prefix->tokens - total};
     return cache_save_allowed(&store->save_bucket, &params, time_mono_ms());
 }
--- a/relay/cached-parts.c
+++ b/relay/cached-parts.c
@@ -161,7 +161,7 @@
     evict_oldest(parts);
 }
 
-/* Returns a part, or NULL if it is not held. */
+/* Returns a part, or NULL if it is not cached. */
 const cached_part_t *
 cached_parts_get(const cached_parts_t *parts, uint64_t key)
 {
@@ -169,14 +169,14 @@
     return entry != NULL ? &entry->part : NULL;
 }
 
-/* Returns whether a part is held. */
+/* Returns whether a part is cached. */
 bool
 cached_parts_has(const cached_parts_t *parts, uint64_t key)
 {
     return entry_find(parts, key) != NULL;
 }
 
-/* Writes the held parts, most recently used first, and returns their number,
+/* Lists the cached parts, most recently used first, and returns their number,
  * at most max. */
 size_t
 cached_parts_list(const cached_parts_t *parts, cached_part_t *out, size_t max)
--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -90,9 +90,10 @@
 open_listener(relay_t *relay, const char *addr,
               const http_listener_hooks_t *hooks, err_t *err)
 {
-    http_listener_opts_t ask = {.fd = http_listen(addr, err), .hooks = *hooks};
-    ask.hooks.arg = relay;
-    return ask.fd < 0 ? NULL : http_listener_open(relay->base, &ask);
+    http_listener_opts_t opts = {.fd = http_listen(addr, err),
+                                 .hooks = *hooks};
+    opts.hooks.arg = relay;
+    return opts.fd < 0 ? NULL : http_listener_open(relay->base, &opts);
 }
 
 /* Opens the listeners for callers, readiness checks and metrics. */
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -4,14 +4,14 @@
  * load on any one server, but together they fill it, so unannounced load can
  * add up to most of a server's queue.  The steps are therefore small. */
 
-/* Prompt tokens sent, or change of the unread ones, that are announced: a few
- * ms of a server's time. */
-#define UNREAD_STEP_TOKENS 256
-/* Tokens added to a server's cache that are announced: a small part of the
- * smallest cache of an engine. */
-#define FILLED_STEP_TOKENS 4000
-/* An unchanged load is repeated after this time, before peers discard it as
- * outdated. */
+/* Change that is announced, in tokens sent for prefill or tokens not prefilled
+ * yet: a few ms of a server's time. */
+#define PREFILL_STEP_TOKENS 256
+/* Unshared tokens added to a server's cache that are announced: a small part
+ * of the smallest cache of an engine. */
+#define UNSHARED_STEP_TOKENS 4000
+/* Interval at which an unchanged load is repeated: shorter than the time after
+ * which peers discard it. */
 #define REPEAT_MS 400
 
 static bool
@@ -19,16 +19,17 @@
 {
     double change =
         server->own_prefill_tokens - server->announced_prefill_tokens;
-    uint32_t filled =
+    uint32_t unshared =
         server->unshared_tokens - server->announced_unshared_tokens;
     bool sent = server->sent_tokens - server->announced_sent_tokens >=
-                UNREAD_STEP_TOKENS;
-    bool emptied = server->own_prefill_tokens <= 0 &&
-                   server->announced_prefill_tokens > 0;
+                PREFILL_STEP_TOKENS;
+    bool prefill_done = server->own_prefill_tokens <= 0 &&
+                        server->announced_prefill_tokens > 0;
     bool repeat = server->own_prefill_tokens > 0 &&
                   now - server->announced_ms >= REPEAT_MS;
-    return change >= UNREAD_STEP_TOKENS || change <= -UNREAD_STEP_TOKENS ||
-           emptied || sent || repeat || filled >= FILLED_STEP_TOKENS ||
+    return change >= PREFILL_STEP_TOKENS || change <= -PREFILL_STEP_TOKENS ||
+           prefill_done || sent || repeat ||
+           unshared >= UNSHARED_STEP_TOKENS ||
            (now < server->loading_until_ms &&
             server->own_running != server->announced_running);
 }
--- a/relay/quota.h
+++ b/relay/quota.h
@@ -31,7 +31,7 @@
 
 /* What another host last announced for a workspace. */
 typedef struct {
-    uint32_t total_spent; /* total of that host, wraps */
+    uint32_t total_spent; /* by that host, modulo 2^32 */
     unsigned session;     /* session of the announcement; 0 for none */
 } quota_report_t;
 
@@ -43,10 +43,10 @@
     unsigned config_seen;     /* config_count when the limit was last set */
     double level;             /* units in the bucket; negative for a debt */
     int64_t updated_ms;       /* when the level was last computed */
-    uint32_t total_spent;     /* total of this host, wraps */
-    uint32_t announced_spent; /* value of spent in the last announcement */
+    uint32_t total_spent;     /* by this host, modulo 2^32 */
+    uint32_t announced_spent; /* total_spent last announced */
     double reserved;     /* units for rejected callers told when to retry */
-    double others_rate;  /* units that other hosts spend in a ms */
+    double others_rate;  /* units per ms that other hosts spend */
     double others_spent; /* units of other hosts in the current slice */
     int64_t slice_started_ms;
     quota_report_t *reports; /* by index of the host; NULL before the first */
@@ -56,9 +56,10 @@
 
 /* Another host that may spend units of the limits. */
 typedef struct {
-    uint64_t host;        /* its address; 0 for a free slot */
-    int64_t confirmed_ms; /* when it was last listed, a member or announced */
-    int64_t received_ms;  /* time of its last announcement; 0 for never */
+    uint64_t host; /* its address; 0 for a free slot */
+    /* When it last announced, was listed or was a member. */
+    int64_t confirmed_ms;
+    int64_t received_ms; /* time of its last announcement; 0 for never */
     uint64_t incarnation;
     uint64_t previous_incarnation;
     uint64_t sequence; /* of its last announcement */
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -82,8 +82,8 @@
     if (server_has_recent_load(server, now)) {
         tokens += server->reported_waiting * QUEUED_PREFILL_TOKENS;
     }
-    double booked = server_update_backlog(server, now);
-    tokens = booked > tokens ? booked : tokens;
+    double backlog_tokens = server_update_backlog(server, now);
+    tokens = backlog_tokens > tokens ? backlog_tokens : tokens;
     return tokens * server->slowness / SERVER_PREFILL_TOKENS_PER_MS +
            server_slot_wait_ms(server, now);
 }
@@ -236,12 +236,12 @@
     }
     /* Only the shared part of the prompt can be cached anywhere. */
     prefix_t prefix = {.tokens = prompt_shared_tokens(&request->prompt)};
-    place_query_t ask = {.prefix = &prefix,
-                         .objective = relay->settings.objective != 0
-                                          ? OBJECTIVE_CACHE_HITS
-                                          : OBJECTIVE_TAIL_LATENCY,
-                         .placement_count = relay->placement_count++};
-    size_t best = policy_find("cost")->choose(candidates, count, &ask);
+    place_query_t query = {.prefix = &prefix,
+                           .objective = relay->settings.objective != 0
+                                            ? OBJECTIVE_CACHE_HITS
+                                            : OBJECTIVE_TAIL_LATENCY,
+                           .placement_count = relay->placement_count++};
+    size_t best = policy_find("cost")->choose(candidates, count, &query);
     request->expected_wait_ms = waits[best];
     uint32_t cached_tokens = candidates[best].cached_tokens;
     uint32_t tokens = request->prompt.prompt_tokens;
@@ -269,20 +269,20 @@
     if (server == NULL) {
         return false;
     }
-    const admit_input_t ask = {
+    const admit_input_t input = {
         .wait_ms = request->expected_wait_ms,
         .prefill_ms = request->expected_prefill_ms,
         .margin_ms = forecast_margin_ms(&request->relay->forecast),
         .target_ms = request->route->target_latency_ms,
         .remaining_ms = request->deadline_ms - now,
         .engine = request->engine};
-    int64_t after_ms = admit_retry_after_ms(&ask);
+    int64_t after_ms = admit_retry_after_ms(&input);
     if (after_ms > 0 && request->possible_runs == 0) {
         log_record(LOG_INFO, "place", "too-busy",
                    "id=%s server=%s wait_ms=%.0f read_ms=%.0f margin_ms=%.0f "
                    "target_ms=%d",
-                   request->id, server->info.id, ask.wait_ms, ask.prefill_ms,
-                   ask.margin_ms, ask.target_ms);
+                   request->id, server->info.id, input.wait_ms,
+                   input.prefill_ms, input.margin_ms, input.target_ms);
         request_refuse(request, "too-busy", after_ms);
         return true;
     }
--- a/relay/request-quota.c
+++ b/relay/request-quota.c
@@ -45,10 +45,10 @@
     }
     double cost = request_cost(request);
     int64_t now = time_mono_ms();
-    quota_decision_t verdict = quota_try_spend(quotas, quota, cost, now);
-    if (verdict.allowed) {
+    quota_decision_t decision = quota_try_spend(quotas, quota, cost, now);
+    if (decision.allowed) {
         request->quota_charge = cost;
-        return verdict;
+        return decision;
     }
     log_record(LOG_WARN, "quota", "exceeded",
                "id=%s workspace=%s cost=%.0f left=%.0f unseen=%.0f rate=%.0f "
@@ -57,7 +57,7 @@
                quota_estimate_unreported(quotas, quota, now),
                quota->limit.rate, quota->limit.burst, quotas->host_count + 1,
                quotas->reachable_count + 1);
-    return verdict;
+    return decision;
 }
 
 /* Charges the request again for an attempt after one that may have run. */
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -14,7 +14,7 @@
 #define ANSWER_BYTES_MAX (8u << 20)
 /* A server that refuses a request is believed to be full for this long, ms: a
  * few of its batch steps. */
-#define FULL_PAUSE_MS 150
+#define FULL_AFTER_REFUSAL_MS 150
 /* A server's prefill speed is measured with prompts that take long enough to
  * prefill and have almost nothing queued ahead of them.  The first token takes
  * FIRST_TOKEN_MS after the prefill. */
@@ -286,7 +286,7 @@
     server_t *server = request->server;
     int64_t now = time_mono_ms();
     if (head->status != 421) {
-        server->full_until_ms = now + FULL_PAUSE_MS;
+        server->full_until_ms = now + FULL_AFTER_REFUSAL_MS;
         return;
     }
     const header_t *id =
@@ -298,7 +298,7 @@
         exchanges_close_idle(request->relay->exchanges, server->info.addr);
         return;
     }
-    server->full_until_ms = now + FULL_PAUSE_MS;
+    server->full_until_ms = now + FULL_AFTER_REFUSAL_MS;
     probe_server(request->relay, server);
 }
 
@@ -597,7 +597,7 @@
                                 request->sent_ms);
     }
     relay->meter.sends++;
-    exchange_request_t ask = {
+    exchange_request_t options = {
         .addr = server->info.addr,
         .head = head.data,
         .head_len = head.len,
@@ -605,7 +605,8 @@
         .body_len = request->body->len,
         .no_response_body = request->head->method == HTTP_HEAD,
         .connect_ms = CONNECT_TIMEOUT_MS};
-    request->exchange = exchange_start(relay->exchanges, &ask, &request_hooks);
+    request->exchange =
+        exchange_start(relay->exchanges, &options, &request_hooks);
     if (request->sends == 1) {
         request->overhead_us = time_mono_us() - request->received_us;
     }
--- a/relay/request.c
+++ b/relay/request.c
@@ -27,7 +27,7 @@
 #define BODY_BYTES_MAX (40u << 20)
 
 /* The caller closed its connection: cancels its request and closes the
- * server's connection, so that the server stops working on the answer. */
+ * connection to the server, so that the server stops working. */
 void
 request_caller_disconnected(request_t *request)
 {
@@ -175,10 +175,10 @@
 
 /* An attempt has failed: retries the request or ends it. */
 void
-request_handle_failed_attempt(request_t *request, send_result_t fate)
+request_handle_failed_attempt(request_t *request, send_result_t result)
 {
     int64_t now = time_mono_ms();
-    retry_state_t ask = {
+    retry_state_t state = {
         .kind = request->route->kind,
         .resumable = request->route->resumable,
         .attempts_max = request->route->attempts,
@@ -189,17 +189,17 @@
                                               request->service, now),
         .remaining_ms = request->deadline_ms - now,
     };
-    retry_decision_t verdict = retry_decide(&ask, fate);
+    retry_decision_t decision = retry_decide(&state, result);
     log_record(LOG_WARN, "request", "send-failed",
                "id=%s server=%s fate=%s ran=%d sends=%d share_left=%d "
                "left_ms=%lld verdict=%s status=%d",
                request->id,
                request->server != NULL ? request->server->info.id : "-",
-               send_result_name(fate), ask.possible_runs, ask.sends,
-               ask.within_share, (long long)ask.remaining_ms,
-               retry_decision_name(verdict), request->status);
+               send_result_name(result), state.possible_runs, state.sends,
+               state.within_share, (long long)state.remaining_ms,
+               retry_decision_name(decision), request->status);
     request_release_server(request);
-    switch (verdict) {
+    switch (decision) {
         case RETRY_NOW:
             if (!request_place(request)) {
                 request->placement_deadline_ms =
--- a/relay/request.h
+++ b/relay/request.h
@@ -1,7 +1,7 @@
 #ifndef CELERYSPOOL_REQUEST_H
 #define CELERYSPOOL_REQUEST_H
 
-/* One request of a caller, from the moment it was read to its answer. */
+/* A caller's request, from its receipt to the end of its answer. */
 
 #include "prompt.h"
 #include "relay.h"
@@ -72,7 +72,7 @@
     buf_t headers; /* of the answer, as passed to the caller */
     buf_t answer_body;
     stream_t stream;
-    bool moved; /* another server answers at this server's address */
+    bool moved; /* unused */
 
     int possible_runs;                 /* attempts that ran or may have run */
     int sends;                         /* attempts so far */
@@ -85,7 +85,7 @@
 bool request_place(request_t *request);
 void request_send(request_t *request, server_t *server);
 void request_release_server(request_t *request);
-void request_handle_failed_attempt(request_t *request, send_result_t fate);
+void request_handle_failed_attempt(request_t *request, send_result_t result);
 void request_end(request_t *request, const char *outcome);
 void request_deliver(request_t *request, meter_outcome_t outcome,
                      const char *outcome_name);
--- a/relay/retry-rule.c
+++ b/relay/retry-rule.c
@@ -7,6 +7,7 @@
  * between: all servers may be loading weights or full for a second, and
  * aborting it would waste what its caller has received. */
 #define SENDS_STARTED_MAX 12
+/* With less time than this such a stream does not wait any more. */
 #define REMAINING_WAIT_MIN_MS 500
 /* With less time than this a retry can't bring an answer: it takes two network
  * transfers and the shortest processing time of a server. */
--- a/relay/retry-rule.h
+++ b/relay/retry-rule.h
@@ -16,7 +16,7 @@
 typedef struct {
     route_kind_t kind;
     bool resumable;
-    int attempts_max;     /* how many sends may have run */
+    int attempts_max;     /* maximum of possible_runs */
     int possible_runs;    /* sends that may have run, including this one */
     int sends;            /* all sends, including this one */
     bool answer_started;  /* part of the answer has been sent to the caller */
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -73,13 +73,13 @@
     return NULL;
 }
 
-/* Returns the server with a key, or NULL. */
+/* Returns the server whose id has a hash, or NULL. */
 server_t *
-servers_find_by_id_hash(const servers_t *servers, uint32_t key)
+servers_find_by_id_hash(const servers_t *servers, uint32_t id_hash)
 {
     server_t *server;
     CK_LIST_FOREACH (server, &servers->list, entry) {
-        if (server->id_hash == key && !server->removed) {
+        if (server->id_hash == id_hash && !server->removed) {
             return server;
         }
     }
@@ -140,9 +140,9 @@
         servers->count++;
     }
     if (entry->weights > server->info.weights) {
-        /* The host that ordered the load may have learnt of its end from the
-         * same entry, and then notifies no peer.  Without this the server
-         * would stay unused here until the notice of its load expires. */
+        /* The host that ordered the weights load may have learnt of its end
+         * from the same entry, and then notifies no peer.  Without this the
+         * server would stay unused here until the load notice expires. */
         server->loading_until_ms = 0;
     }
     bool renewed = server->info.started_ms != entry->started_ms ||
--- a/relay/servers.h
+++ b/relay/servers.h
@@ -45,7 +45,7 @@
 
 /* A host's load at a server, as last announced by that host. */
 typedef struct {
-    uint64_t host_hash; /* hash of the host's address; 0 for none */
+    uint64_t host_hash; /* the host's address and port; 0 for none */
     int64_t received_ms;
     double prefill_tokens; /* not prefilled yet */
     int running;
@@ -60,10 +60,10 @@
     server_entry_t info;
     int64_t revision; /* of the platform's entry */
     bool updating;    /* this host is changing the server's weights */
-    int64_t order_not_before_ms; /* no new order before this time */
+    int64_t order_not_before_ms; /* no new weights order before this time */
     /* No new requests before this time: the server loads weights. */
     int64_t loading_until_ms;
-    uint32_t id_hash; /* hash of the id, sent to other hosts */
+    uint32_t id_hash; /* of the id; identifies the server to other hosts */
     uint16_t number;  /* in the cache map; reused after removal */
     /* When the entry disappeared from the platform; 0 if it is listed. */
     int64_t missing_since_ms;
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -3,18 +3,18 @@
 
 #include <stdlib.h>
 
-/* Simulates one engine that reads prompts one after the other, in virtual
+/* Simulates one engine that prefills prompts one after the other, in virtual
  * time.  A rejected caller retries once, after its retry-after. */
 
-#define READ_PER_MS 55.0
+#define PREFILL_TOKENS_PER_MS 55.0
 #define TARGET_MS 1200
 #define DEADLINE_MS 3000
 #define CALLERS_MAX 20000
 #define RUN_MS 30000
 
 typedef struct {
-    double at_ms;    /* arrival of the next try */
-    double first_ms; /* arrival of the first try */
+    double at_ms;    /* arrival of the next attempt */
+    double first_ms; /* arrival of the first attempt */
     double tokens;
     bool retried;
     bool done;
@@ -24,7 +24,7 @@
     unsigned in_time;
     unsigned late;
     unsigned rejected;
-    unsigned timed_out; /* read, but answered after the deadline */
+    unsigned timed_out; /* prefilled, but answered after the deadline */
 } result_t;
 
 static int
@@ -47,17 +47,18 @@
     return next;
 }
 
-/* Serves a try of a caller, or rejects it. */
+/* Serves an attempt of a caller, or rejects it. */
 static void
 serve(sim_caller_t *caller, double *free_at, bool admission, result_t *result)
 {
     double wait = *free_at > caller->at_ms ? *free_at - caller->at_ms : 0;
     double left = caller->first_ms + DEADLINE_MS - caller->at_ms;
-    admit_input_t input = {.wait_ms = wait,
-                           .prefill_ms = caller->tokens / READ_PER_MS,
-                           .target_ms = TARGET_MS,
-                           .remaining_ms = (int64_t)left,
-                           .engine = true};
+    admit_input_t input = {
+        .wait_ms = wait,
+        .prefill_ms = caller->tokens / PREFILL_TOKENS_PER_MS,
+        .target_ms = TARGET_MS,
+        .remaining_ms = (int64_t)left,
+        .engine = true};
     int64_t after = admission ? admit_retry_after_ms(&input) : 0;
     if (after > 0) {
         caller->done = caller->retried;
@@ -92,7 +93,7 @@
     while (at < RUN_MS && count < CALLERS_MAX) {
         double tokens = 400 + 3200 * rng_unit(&rng);
         rows[count++] = (sim_caller_t){at, at, tokens, false, false};
-        at += 2000.0 / READ_PER_MS / load * 2 * rng_unit(&rng);
+        at += 2000.0 / PREFILL_TOKENS_PER_MS / load * 2 * rng_unit(&rng);
     }
     qsort(rows, count, sizeof(rows[0]), by_time);
     sim_caller_t *caller;
@@ -102,9 +103,9 @@
     return result;
 }
 
-/* Requests arrive 1.5 times as fast as the engine reads them.  Without
+/* Requests arrive 1.5 times as fast as the engine prefills them.  Without
  * admission control the queue grows until most answers miss their deadline;
- * with it most of the requests that the engine can read are in time. */
+ * with it most of the requests that the engine can prefill are in time. */
 START_TEST(overload_does_not_make_all_answers_late)
 {
     result_t before = simulate(1.5, false);
@@ -126,7 +127,7 @@
 }
 END_TEST
 
-/* The largest prompts take longer than the target to read.  If they were
+/* The largest prompts take longer than the target to prefill.  If they were
  * rejected for that, they would never be served. */
 START_TEST(prompts_longer_than_the_target_are_served)
 {
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -16,10 +16,10 @@
 }
 
 static void
-use(cached_parts_t *held, uint64_t key, uint32_t tokens)
+use(cached_parts_t *parts, uint64_t key, uint32_t tokens)
 {
     const cached_part_t used = part(key, tokens);
-    cached_parts_use(held, &used);
+    cached_parts_use(parts, &used);
 }
 
 /* Guards against an estimate by age alone: an engine with little memory evicts
@@ -27,23 +27,23 @@
  * prefilled again. */
 START_TEST(least_recently_used_part_is_evicted_first)
 {
-    cached_parts_t *held = cached_parts_new();
-    cached_parts_set_capacity(held, 1000);
-    use(held, 1, 400);
-    use(held, 2, 400);
-    use(held, 1, 400);
-    cached_parts_add_unshared(held, 599);
-    ck_assert(cached_parts_has(held, 1));
-    ck_assert(cached_parts_has(held, 2));
-    cached_parts_add_unshared(held, 2);
-    ck_assert(cached_parts_has(held, 1));
-    ck_assert(!cached_parts_has(held, 2));
-    cached_parts_add_unshared(held, 100000);
-    ck_assert(!cached_parts_has(held, 1));
-    use(held, 3, 10);
-    cached_parts_clear(held);
-    ck_assert(!cached_parts_has(held, 3));
-    cached_parts_free(held);
+    cached_parts_t *parts = cached_parts_new();
+    cached_parts_set_capacity(parts, 1000);
+    use(parts, 1, 400);
+    use(parts, 2, 400);
+    use(parts, 1, 400);
+    cached_parts_add_unshared(parts, 599);
+    ck_assert(cached_parts_has(parts, 1));
+    ck_assert(cached_parts_has(parts, 2));
+    cached_parts_add_unshared(parts, 2);
+    ck_assert(cached_parts_has(parts, 1));
+    ck_assert(!cached_parts_has(parts, 2));
+    cached_parts_add_unshared(parts, 100000);
+    ck_assert(!cached_parts_has(parts, 1));
+    use(parts, 3, 10);
+    cached_parts_clear(parts);
+    ck_assert(!cached_parts_has(parts, 3));
+    cached_parts_free(parts);
 }
 END_TEST
 
@@ -51,23 +51,23 @@
  * one that shrinks the cache evicts at once. */
 START_TEST(invalid_capacity_is_ignored)
 {
-    cached_parts_t *held = cached_parts_new();
-    use(held, 1, 400);
-    cached_parts_set_capacity(held, 0);
-    cached_parts_set_capacity(held, -7);
-    ck_assert(cached_parts_has(held, 1));
-    cached_parts_set_capacity(held, 500);
-    use(held, 2, 300);
-    use(held, 3, 300);
-    ck_assert(!cached_parts_has(held, 1));
+    cached_parts_t *parts = cached_parts_new();
+    use(parts, 1, 400);
+    cached_parts_set_capacity(parts, 0);
+    cached_parts_set_capacity(parts, -7);
+    ck_assert(cached_parts_has(parts, 1));
+    cached_parts_set_capacity(parts, 500);
+    use(parts, 2, 300);
+    use(parts, 3, 300);
+    ck_assert(!cached_parts_has(parts, 1));
     for (uint64_t key = 100; key < 100000; key++) {
-        use(held, key, 0);
+        use(parts, key, 0);
     }
     cached_part_t *all = mem_zalloc(100000 * sizeof(*all));
-    ck_assert_uint_le(cached_parts_list(held, all, 100000), 20000);
+    ck_assert_uint_le(cached_parts_list(parts, all, 100000), 20000);
     ck_assert_uint_eq(all[0].key, 99999);
     free(all);
-    cached_parts_free(held);
+    cached_parts_free(parts);
 }
 END_TEST
 
@@ -138,27 +138,28 @@
     for (uint64_t seed = 1; seed <= 20; seed++) {
         rng_t rng = {.state = seed};
         engine_cache_t *engine = engine_cache_new(ENGINE_BLOCKS);
-        cached_parts_t *held = cached_parts_new();
+        cached_parts_t *parts = cached_parts_new();
         uint32_t late = 0;
         uint64_t own = 1000;
-        cached_parts_set_capacity(held, (int64_t)ENGINE_BLOCKS * BLOCK_TOKENS);
+        cached_parts_set_capacity(parts,
+                                  (int64_t)ENGINE_BLOCKS * BLOCK_TOKENS);
         for (unsigned i = 0; i < 600; i++) {
             uint64_t key = rng_next(&rng) % PARTS;
             uint64_t blocks = rng_next(&rng) % 300;
-            bool estimated = cached_parts_has(held, key);
+            bool estimated = cached_parts_has(parts, key);
             right +=
                 estimated == engine_holds(engine, key, PART_BLOCKS) ? 1 : 0;
             total++;
             engine_store_part(engine, key, PART_BLOCKS);
             engine_store_part(engine, own++, blocks);
-            use(held, key, PART_BLOCKS * BLOCK_TOKENS);
+            use(parts, key, PART_BLOCKS * BLOCK_TOKENS);
             late += (uint32_t)blocks * BLOCK_TOKENS;
             if (rng_next(&rng) % 5 != 0) {
-                cached_parts_add_unshared(held, late);
+                cached_parts_add_unshared(parts, late);
                 late = 0;
             }
         }
-        cached_parts_free(held);
+        cached_parts_free(parts);
         engine_cache_free(engine);
     }
     ck_assert_uint_ge(right * 100, total * 95);
@@ -181,7 +182,7 @@
 
 typedef struct {
     engine_cache_t *engine;
-    cached_parts_t *held;
+    cached_parts_t *parts;
     double used_s[FAMILIES]; /* when each family's part was last used */
 } sim_server_t;
 
@@ -214,7 +215,7 @@
         case ESTIMATE_AGE:
             return now - server->used_s[family] < AGE_S;
         case ESTIMATE_USE:
-            return cached_parts_has(server->held, family);
+            return cached_parts_has(server->parts, family);
         case ESTIMATE_EXACT:
             return engine_holds(server->engine, family, FAMILY_BLOCKS);
     }
@@ -233,8 +234,8 @@
     uint64_t own = 1000;
     for (unsigned i = 0; i < SERVERS; i++) {
         servers[i].engine = engine_cache_new(SMALL_BLOCKS);
-        servers[i].held = cached_parts_new();
-        cached_parts_set_capacity(servers[i].held,
+        servers[i].parts = cached_parts_new();
+        cached_parts_set_capacity(servers[i].parts,
                                   (int64_t)SMALL_BLOCKS * BLOCK_TOKENS);
         for (unsigned f = 0; f < FAMILIES; f++) {
             servers[i].used_s[f] = -AGE_S;
@@ -256,21 +257,21 @@
                 place_rendezvous_weight(family, i % 2 == 0 ? "a" : "b") + i;
             all[i].same_dc = true;
         }
-        place_query_t ask = {.prefix = &shared,
-                             .objective = OBJECTIVE_TAIL_LATENCY};
-        size_t best = policy_find("cost")->choose(all, SERVERS, &ask);
+        place_query_t query = {.prefix = &shared,
+                               .objective = OBJECTIVE_TAIL_LATENCY};
+        size_t best = policy_find("cost")->choose(all, SERVERS, &query);
         sim_server_t *server = &servers[best];
         prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
                      BLOCK_TOKENS;
         engine_store_part(server->engine, family, FAMILY_BLOCKS);
         engine_store_part(server->engine, own++, OWN_BLOCKS);
-        use(server->held, family, FAMILY_BLOCKS * BLOCK_TOKENS);
-        cached_parts_add_unshared(server->held, OWN_BLOCKS * BLOCK_TOKENS);
+        use(server->parts, family, FAMILY_BLOCKS * BLOCK_TOKENS);
+        cached_parts_add_unshared(server->parts, OWN_BLOCKS * BLOCK_TOKENS);
         server->used_s[family] = now;
     }
     for (unsigned i = 0; i < SERVERS; i++) {
         engine_cache_free(servers[i].engine);
-        cached_parts_free(servers[i].held);
+        cached_parts_free(servers[i].parts);
     }
     return prefilled;
 }
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -120,14 +120,14 @@
     request.affinity_key = rng_next(&fleet->rng);
     server_t *server = request_choose_server(&request, now);
     ck_assert_ptr_nonnull(server);
-    const admit_input_t ask = {
+    const admit_input_t input = {
         .wait_ms = request.expected_wait_ms,
         .prefill_ms = request.expected_prefill_ms,
         .margin_ms = forecast_margin_ms(&request.relay->forecast),
         .target_ms = TARGET_MS,
         .remaining_ms = DEADLINE_MS,
         .engine = true};
-    if (fleet->admission && admit_retry_after_ms(&ask) > 0) {
+    if (fleet->admission && admit_retry_after_ms(&input) > 0) {
         fleet->refused++;
         return;
     }
@@ -286,7 +286,7 @@
 }
 END_TEST
 
-/* Guards against refusing requests while the servers have capacity left. */
+/* Guards against rejecting requests while the servers have capacity left. */
 START_TEST(no_request_is_refused_below_capacity)
 {
     fleet_t *fleet = fleet_new(1);
@@ -297,7 +297,7 @@
 }
 END_TEST
 
-/* Guards against refusing requests although servers are idle: the cost of
+/* Guards against rejecting requests although servers are idle: the cost of
  * older weights or of errors must not count as expected wait. */
 START_TEST(penalties_do_not_count_as_wait)
 {
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -35,12 +35,12 @@
     sim_datagram_t in_flight[DATAGRAMS_MAX];
     size_t in_flight_count;
     quota_limit_t limit;
-    double load;        /* units requested a ms, of all hosts */
-    double skew;        /* share of the load that the first host gets */
-    unsigned lost;      /* datagrams of a hundred */
-    double large;       /* units of the largest request */
-    double run[RUN_MS]; /* units allowed in each ms */
-    double exact;       /* level of the exact bucket */
+    double load;            /* units requested a ms, of all hosts */
+    double skew;            /* share of the load that the first host gets */
+    unsigned lost;          /* datagrams of a hundred */
+    double large;           /* units of the largest request */
+    double allowed[RUN_MS]; /* units allowed in each ms */
+    double exact;           /* level of the exact bucket */
     double requested;
     double within_limit;     /* units that the exact bucket allows */
     double wrongly_rejected; /* units within the limit that were rejected */
@@ -165,7 +165,7 @@
     sim->exact -= within_limit ? cost : 0;
     sim->within_limit += within_limit ? cost : 0;
     sim->wrongly_rejected += within_limit && !allowed ? cost : 0;
-    sim->run[now] += allowed ? cost : 0;
+    sim->allowed[now] += allowed ? cost : 0;
 }
 
 /* Runs the simulation from one moment to another. */
@@ -234,8 +234,8 @@
     double sum = 0;
     double highest = 0;
     for (int64_t ms = 0; ms < RUN_MS; ms++) {
-        sum += sim->run[ms];
-        sum -= ms >= WINDOW_MS ? sim->run[ms - WINDOW_MS] : 0;
+        sum += sim->allowed[ms];
+        sum -= ms >= WINDOW_MS ? sim->allowed[ms - WINDOW_MS] : 0;
         highest = sum > highest ? sum : highest;
     }
     return highest / allowed;
@@ -279,7 +279,7 @@
             ck_assert_double_le(worst_window(sim), 1);
             double ran = 0;
             for (int64_t ms = 16000; ms < 28000; ms++) {
-                ran += sim->run[ms];
+                ran += sim->allowed[ms];
             }
             ck_assert_double_ge(ran, 0.95 * rates[i] * 12);
             sim_free(sim);
--- a/tests/test-retry-rule.c
+++ b/tests/test-retry-rule.c
@@ -2,13 +2,13 @@
 #include "test.h"
 
 static retry_state_t
-make_state(unsigned bits, int ran)
+make_state(unsigned bits, int possible_runs)
 {
     return (retry_state_t){.kind = (route_kind_t)(bits % 3),
                            .resumable = (bits / 3) % 2 == 1,
                            .attempts_max = 1 + (int)((bits / 6) % 3),
-                           .possible_runs = ran,
-                           .sends = ran + (int)((bits / 18) % 4),
+                           .possible_runs = possible_runs,
+                           .sends = possible_runs + (int)((bits / 18) % 4),
                            .answer_started = (bits / 72) % 2 == 1,
                            .within_share = (bits / 144) % 2 == 1,
                            .remaining_ms = (bits / 288) % 2 == 1 ? 500 : 5};
@@ -21,18 +21,18 @@
 START_TEST(a_request_runs_twice_only_if_its_kind_allows_it)
 {
     for (unsigned bits = 0; bits < 576; bits++) {
-        for (int ran = 0; ran < 4; ran++) {
+        for (int possible_runs = 0; possible_runs < 4; possible_runs++) {
             for (int result = SEND_UNSENT; result <= SEND_FAILED; result++) {
-                retry_state_t state = make_state(bits, ran);
-                if (result >= SEND_UNKNOWN && ran == 0) {
-                    continue; /* ran includes this send */
+                retry_state_t state = make_state(bits, possible_runs);
+                if (result >= SEND_UNKNOWN && possible_runs == 0) {
+                    continue; /* possible_runs includes this send */
                 }
                 retry_decision_t decision =
                     retry_decide(&state, (send_result_t)result);
                 bool can_rerun = retry_can_rerun(state.kind, state.resumable);
-                if (decision == RETRY_NOW && ran > 0) {
+                if (decision == RETRY_NOW && possible_runs > 0) {
                     ck_assert(can_rerun || result < SEND_UNKNOWN);
-                    ck_assert_int_lt(ran, state.attempts_max);
+                    ck_assert_int_lt(possible_runs, state.attempts_max);
                 }
                 if (decision == RETRY_NOW && result >= SEND_UNKNOWN) {
                     ck_assert(can_rerun);
@@ -43,10 +43,10 @@
                 if (decision == RETRY_LATER) {
                     ck_assert(state.answer_started);
                     ck_assert_int_lt(result, SEND_UNKNOWN);
-                    ck_assert_int_lt(ran, state.attempts_max);
+                    ck_assert_int_lt(possible_runs, state.attempts_max);
                 }
                 if (decision == RETRY_REJECT) {
-                    ck_assert_int_eq(ran, 0);
+                    ck_assert_int_eq(possible_runs, 0);
                     ck_assert(!state.answer_started);
                 }
                 if (decision == RETRY_ABORT) {
