--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -270,7 +270,7 @@
         log_record(LOG_WARN, "weights", "unreadable", "why=\"%s\"", err.text);
         return;
     }
-    weights_observe(relay, name.model, name.version, time_wall_ms());
+    weights_record_from_store(relay, name.model, name.version, time_wall_ms());
 }
 
 static void
--- a/relay/peer-loads.c
+++ b/relay/peer-loads.c
@@ -76,7 +76,7 @@
             continue;
         }
         const server_peer_load_t report = {
-            .host_hash = host,
+            .host_id = host,
             .received_ms = now_ms,
             .prefill_tokens = load->prefill_tokens,
             .running = (int)load->running,
--- a/relay/peers-apply.c
+++ b/relay/peers-apply.c
@@ -31,7 +31,7 @@
         return;
     }
     const server_peer_load_t report = {
-        .host_hash = host,
+        .host_id = host,
         .received_ms = time_mono_ms(),
         .prefill_tokens = fact->load.waiting_tokens,
         .running = fact->load.running,
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -123,9 +123,9 @@
     }
     size_t len = peer_encode(&peers->scratch, peers->secret, data);
     for (size_t i = 0; i < QUOTA_HOSTS_MAX && len > 0; i++) {
-        if (quotas->hosts[i].host != 0) {
+        if (quotas->hosts[i].id != 0) {
             struct sockaddr_in to =
-                peers_addr_from_host_id(quotas->hosts[i].host);
+                peers_addr_from_host_id(quotas->hosts[i].id);
             peers_send_bytes(peers, &to, data, len);
         }
     }
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -104,7 +104,7 @@
     quota_t *quota;
     CK_SLIST_FOREACH (quota, &quotas->buckets[workspace % QUOTA_BUCKETS],
                       entry) {
-        if (quota->workspace == workspace) {
+        if (quota->workspace_hash == workspace) {
             return quota;
         }
     }
@@ -152,7 +152,7 @@
     quota_t *quota = find_by_hash(quotas, hash);
     if (quota == NULL) {
         quota = mem_zalloc(sizeof(*quota));
-        quota->workspace = hash;
+        quota->workspace_hash = hash;
         str_copy(quota->name, sizeof(quota->name), workspace);
         quota->limit = *limit;
         set_start_level(quotas, quota, now_ms);
@@ -323,15 +323,15 @@
     quota_host_t *free_slot = NULL;
     for (size_t i = 0; i < QUOTA_HOSTS_MAX; i++) {
         quota_host_t *slot = &quotas->hosts[i];
-        if (slot->host == host) {
+        if (slot->id == host) {
             return slot;
         }
-        if (slot->host == 0 && free_slot == NULL) {
+        if (slot->id == 0 && free_slot == NULL) {
             free_slot = slot;
         }
     }
     if (free_slot != NULL) {
-        *free_slot = (quota_host_t){.host = host};
+        *free_slot = (quota_host_t){.id = host};
         quotas->host_count++;
     }
     return free_slot;
@@ -390,7 +390,7 @@
     int64_t silent = quotas_announce_interval_ms(quotas) * SILENT_INTERVALS;
     for (size_t i = 0; i < QUOTA_HOSTS_MAX; i++) {
         quota_host_t *host = &quotas->hosts[i];
-        if (host->host == 0) {
+        if (host->id == 0) {
             continue;
         }
         if (host->reachable && now_ms - host->received_ms > silent) {
@@ -400,7 +400,7 @@
         }
         if (!host->reachable && now_ms - host->received_ms > HOST_EXPIRY_MS &&
             now_ms - host->confirmed_ms > HOST_EXPIRY_MS) {
-            host->host = 0;
+            host->id = 0;
             quotas->host_count--;
         }
     }
@@ -543,7 +543,7 @@
                 return true;
             }
             out->usages[out->usage_count++] =
-                (peer_usage_t){quota->workspace, quota->total_spent,
+                (peer_usage_t){quota->workspace_hash, quota->total_spent,
                                quota->total_spent - quota->announced_spent};
             quota->announced_spent = quota->total_spent;
         }
--- a/relay/quota.h
+++ b/relay/quota.h
@@ -37,7 +37,7 @@
 
 typedef struct quota {
     CK_SLIST_ENTRY(quota) entry;
-    uint64_t workspace; /* hash of its name */
+    uint64_t workspace_hash; /* hash of its name */
     char name[CS_NAME_MAX];
     quota_limit_t limit;
     unsigned config_seen;     /* config_count when the limit was last set */
@@ -56,7 +56,7 @@
 
 /* Another host that may spend units of the limits. */
 typedef struct {
-    uint64_t host; /* its address; 0 for a free slot */
+    uint64_t id; /* its address and port; 0 for a free slot */
     /* When it last announced, was listed or was a member. */
     int64_t confirmed_ms;
     int64_t received_ms; /* time of its last announcement; 0 for never */
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -112,12 +112,12 @@
                     int64_t published_ms);
 void weights_record_estimate(relay_t *relay, const char *model,
                              int64_t version, int64_t published_ms);
-void weights_observe(relay_t *relay, const char *model, int64_t version,
-                     int64_t wall_ms);
+void weights_record_from_store(relay_t *relay, const char *model,
+                               int64_t version, int64_t wall_ms);
 bool weights_expired(const weights_t *weights, int64_t version,
                      int64_t wall_ms, int64_t allowed_ms);
-int64_t weights_superseded_ms(const weights_t *weights, int64_t version,
-                              int64_t wall_ms);
+int64_t weights_superseded_for_ms(const weights_t *weights, int64_t version,
+                                  int64_t wall_ms);
 
 void relay_write_metrics(const relay_t *relay, buf_t *out);
 
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -53,8 +53,8 @@
     if (weights == NULL || server->info.weights >= weights->newest_version) {
         return true;
     }
-    return weights_superseded_ms(weights, server->info.weights,
-                                 time_wall_ms()) <
+    return weights_superseded_for_ms(weights, server->info.weights,
+                                     time_wall_ms()) <
            (int64_t)(OLD_WEIGHTS_SHARE *
                      request->relay->settings.old_weights_max_ms);
 }
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -425,7 +425,7 @@
                   const server_peer_load_t *report)
 {
     int32_t more = (int32_t)(report->sent_tokens - before->sent_tokens);
-    if (before->host_hash != report->host_hash || before->sent_tokens == 0 ||
+    if (before->host_id != report->host_id || before->sent_tokens == 0 ||
         more < 0) {
         return report->prefill_tokens;
     }
@@ -440,7 +440,7 @@
     server_peer_load_t *oldest = &server->peer_loads[0];
     for (size_t i = 0; i < server->peer_load_count; i++) {
         server_peer_load_t *other = &server->peer_loads[i];
-        if (other->host_hash == host) {
+        if (other->host_id == host) {
             return other;
         }
         if (other->received_ms < oldest->received_ms) {
@@ -457,8 +457,8 @@
 void
 server_apply_peer_load(server_t *server, const server_peer_load_t *report)
 {
-    server_peer_load_t *last = find_peer_load(server, report->host_hash);
-    bool known = last->host_hash == report->host_hash;
+    server_peer_load_t *last = find_peer_load(server, report->host_id);
+    bool known = last->host_id == report->host_id;
     uint32_t sent = known ? last->sent_tokens : 0;
     if (known) {
         apply_unshared_delta(server, last, report);
@@ -476,7 +476,7 @@
 static bool
 is_recent(const server_peer_load_t *other, int64_t now_ms)
 {
-    return other->host_hash != 0 &&
+    return other->host_id != 0 &&
            now_ms - other->received_ms < PEER_LOAD_VALID_MS;
 }
 
--- a/relay/servers.h
+++ b/relay/servers.h
@@ -45,7 +45,7 @@
 
 /* A host's load at a server, as last announced by that host. */
 typedef struct {
-    uint64_t host_hash; /* the host's address and port; 0 for none */
+    uint64_t host_id; /* the host's address and port; 0 for none */
     int64_t received_ms;
     double prefill_tokens; /* not prefilled yet */
     int running;
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -119,8 +119,8 @@
  * as over: otherwise a daemon that restarts after a publication would use
  * replaced weights for too long. */
 void
-weights_observe(relay_t *relay, const char *model, int64_t version,
-                int64_t wall_ms)
+weights_record_from_store(relay_t *relay, const char *model, int64_t version,
+                          int64_t wall_ms)
 {
     int64_t before_ms = relay->weights_listed
                             ? 0
@@ -136,15 +136,15 @@
 weights_expired(const weights_t *weights, int64_t version, int64_t wall_ms,
                 int64_t allowed_ms)
 {
-    return weights_superseded_ms(weights, version, wall_ms) >=
+    return weights_superseded_for_ms(weights, version, wall_ms) >=
            (int64_t)(START_SHARE * (double)allowed_ms);
 }
 
 /* Returns the time since the first newer version was published; 0 if there is
  * none. */
 int64_t
-weights_superseded_ms(const weights_t *weights, int64_t version,
-                      int64_t wall_ms)
+weights_superseded_for_ms(const weights_t *weights, int64_t version,
+                          int64_t wall_ms)
 {
     int64_t since = 0;
     for (size_t i = 0; i < weights->version_count; i++) {
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -83,7 +83,7 @@
     cached_parts_set_capacity(server->cached_parts, 1000);
     use(server->cached_parts, 1, 500);
     server_peer_load_t report = {
-        .host_hash = 9, .received_ms = 1, .unshared_tokens = UINT32_MAX - 10};
+        .host_id = 9, .received_ms = 1, .unshared_tokens = UINT32_MAX - 10};
     server_apply_peer_load(server, &report);
     ck_assert(cached_parts_has(server->cached_parts, 1));
     report.unshared_tokens += 400;
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -427,12 +427,12 @@
                                      .incarnation = 5,
                                      .sequence = 3,
                                      .usage_count = 1};
-    second.usages[0] = (peer_usage_t){quota->workspace, 400, 400};
+    second.usages[0] = (peer_usage_t){quota->workspace_hash, 400, 400};
     static peer_datagram_t late = {.kind = PEER_USAGES,
                                    .incarnation = 5,
                                    .sequence = 2,
                                    .usage_count = 1};
-    late.usages[0] = (peer_usage_t){quota->workspace, 300, 300};
+    late.usages[0] = (peer_usage_t){quota->workspace_hash, 300, 300};
     double before = quota->level;
     quotas_apply(&quotas, 7, &second, 30000);
     quotas_apply(&quotas, 7, &second, 30000);
@@ -458,12 +458,12 @@
     quotas_config_set(&quotas, WORKSPACE, &limit, 20000);
     quotas_config_end(&quotas);
     quota_t *quota = quotas_find(&quotas, WORKSPACE);
-    datagram.usages[0] = (peer_usage_t){quota->workspace, 10, 10};
+    datagram.usages[0] = (peer_usage_t){quota->workspace_hash, 10, 10};
     quotas_apply(&quotas, 7, &datagram, 20000);
     double before = quota->level;
     datagram.incarnation = 400;
     datagram.sequence = 1;
-    datagram.usages[0] = (peer_usage_t){quota->workspace, 300, 300};
+    datagram.usages[0] = (peer_usage_t){quota->workspace_hash, 300, 300};
     quotas_apply(&quotas, 7, &datagram, 20000);
     ck_assert_double_eq_tol(quota->level, before - 300, 0.001);
     datagram.incarnation = 500;
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -30,7 +30,7 @@
     servers_t *servers = servers_new();
     server_t *server = server_add(servers, 1);
     server_peer_load_t report = {
-        .host_hash = 7, .received_ms = 1000, .running = 1};
+        .host_id = 7, .received_ms = 1000, .running = 1};
     server_apply_peer_load(server, &report);
     server_add_request(server, 0, 1000);
     ck_assert(!rollout_can_order(server, 1000, 1100));
--- a/tests/test-weights.c
+++ b/tests/test-weights.c
@@ -22,10 +22,11 @@
 START_TEST(version_of_unknown_age_is_not_new)
 {
     relay_t *relay = relay_new(false);
-    weights_observe(relay, "m", 3, 100000);
+    weights_record_from_store(relay, "m", 3, 100000);
     const weights_t *weights = relay_find_weights(relay, "m");
     ck_assert_int_eq(weights->newest_version, 3);
-    ck_assert_int_ge(weights_superseded_ms(weights, 2, 108000 - 1300), 8000);
+    ck_assert_int_ge(weights_superseded_for_ms(weights, 2, 108000 - 1300),
+                     8000);
     free(relay);
 }
 END_TEST
@@ -34,12 +35,12 @@
 START_TEST(known_time_replaces_estimate)
 {
     relay_t *relay = relay_new(false);
-    weights_observe(relay, "m", 3, 100000);
+    weights_record_from_store(relay, "m", 3, 100000);
     weights_record(relay, "m", 3, 99500);
     const weights_t *weights = relay_find_weights(relay, "m");
-    ck_assert_int_eq(weights_superseded_ms(weights, 2, 101000), 1500);
-    weights_observe(relay, "m", 3, 100000);
-    ck_assert_int_eq(weights_superseded_ms(weights, 2, 101000), 1500);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 2, 101000), 1500);
+    weights_record_from_store(relay, "m", 3, 100000);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 2, 101000), 1500);
     free(relay);
 }
 END_TEST
@@ -50,12 +51,12 @@
 START_TEST(earlier_estimate_replaces_own)
 {
     relay_t *relay = relay_new(false);
-    weights_observe(relay, "m", 3, 107000);
+    weights_record_from_store(relay, "m", 3, 107000);
     weights_record_estimate(relay, "m", 3, 95000);
     const weights_t *weights = relay_find_weights(relay, "m");
-    ck_assert_int_eq(weights_superseded_ms(weights, 2, 107000), 12000);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 2, 107000), 12000);
     weights_record(relay, "m", 3, 99900);
-    ck_assert_int_eq(weights_superseded_ms(weights, 2, 107000), 7100);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 2, 107000), 7100);
     free(relay);
 }
 END_TEST
@@ -63,10 +64,10 @@
 START_TEST(version_observed_after_first_list_is_new)
 {
     relay_t *relay = relay_new(true);
-    weights_observe(relay, "m", 3, 100000);
+    weights_record_from_store(relay, "m", 3, 100000);
     const weights_t *weights = relay_find_weights(relay, "m");
-    ck_assert_int_eq(weights_superseded_ms(weights, 2, 103000), 3000);
-    ck_assert_int_eq(weights_superseded_ms(weights, 3, 103000), 0);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 2, 103000), 3000);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 3, 103000), 0);
     free(relay);
 }
 END_TEST
@@ -83,8 +84,8 @@
     weights_record(relay, "m", 2, 109000);
     const weights_t *weights = relay_find_weights(relay, "m");
     ck_assert_int_eq(weights->newest_version, 3);
-    ck_assert_int_eq(weights_superseded_ms(weights, 1, 110000), 8000);
-    ck_assert_int_eq(weights_superseded_ms(weights, 2, 110000), 3000);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 1, 110000), 8000);
+    ck_assert_int_eq(weights_superseded_for_ms(weights, 2, 110000), 3000);
     free(relay);
 }
 END_TEST
@@ -97,8 +98,8 @@
     relay_t *relay = mem_zalloc(sizeof(*relay));
     relay->weights_listed = true;
     relay->settings.old_weights_max_ms = 10000;
-    weights_observe(relay, "m1", 1, 1000);
-    weights_observe(relay, "m1", 2, 20000);
+    weights_record_from_store(relay, "m1", 1, 1000);
+    weights_record_from_store(relay, "m1", 2, 20000);
     const weights_t *weights = relay_find_weights(relay, "m1");
     ck_assert(!weights_expired(weights, 1, 27440, 10000));
     ck_assert(!weights_expired(weights, 1, 29400, 10000));
