--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -28,8 +28,8 @@
 #define CONNECT_TIMEOUT_MS 250
 /* Pause after a failed call. */
 #define RETRY_MS 1000
-/* Tokens of one cache's parts that are remembered before any request has
- * them. */
+/* Maximum tokens of one cache's parts that are remembered while no known
+ * request has them. */
 #define UNREQUESTED_TOKENS_MAX (64 << 20)
 
 typedef struct followed_cache {
--- a/relay/forecast.c
+++ b/relay/forecast.c
@@ -25,7 +25,8 @@
     forecast->spread_ms += WEIGHT * (deviation - forecast->spread_ms);
 }
 
-/* Returns by how many ms most answers at most exceed their expected time. */
+/* Returns the excess over the expected time, in ms, that most answers stay
+ * within. */
 double
 forecast_margin_ms(const forecast_t *forecast)
 {
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -9,10 +9,10 @@
  *
  * Each host keeps one token bucket per workspace on behalf of all reachable
  * hosts: it subtracts what it spends itself and what the others announce.
- * Tokens spent twice before an announcement arrives make the level negative
- * and are paid back, so the error does not accumulate.  Hosts that don't
- * announce may be spending too: the others use only their own share of the
- * limit until the silent hosts expire. */
+ * Units that two hosts spend before an announcement arrives make the level
+ * negative and are repaid by the refill, so the error does not accumulate.
+ * Hosts that don't announce may be spending too: the others use only their own
+ * share of the limit until the silent hosts expire. */
 
 /* Shares of the excess that the bounds allow over a limit.  EXTRA is added to
  * the capacity of each bucket, so that requests within the limit are not
@@ -26,8 +26,9 @@
  * bucket is full; one that exceeds the burst by more than this share of the
  * excess never is. */
 #define OVERSIZE_SHARE 0.5
-/* A host that neither announces nor is confirmed expires after this time.  It
- * is longer than a host that is cut off goes on spending its share. */
+/* A host that neither announces nor is confirmed expires after this time,
+ * which is longer than a host that has been cut off goes on spending its
+ * share. */
 #define HOST_EXPIRY_MS 15000
 /* Number of hosts that is assumed until other hosts are found, or until
  * DISCOVERY_MS have passed without finding one. */
@@ -266,7 +267,8 @@
     return (int64_t)fmax(RETRY_AFTER_MIN_MS, fmin(after, RETRY_AFTER_MAX_MS));
 }
 
-/* Spends the cost of a request if it may run now, else says when to retry. */
+/* Spends the cost of a request if it may run now, else returns when to retry.
+ */
 quota_decision_t
 quota_try_spend(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
--- a/relay/quota.h
+++ b/relay/quota.h
@@ -45,9 +45,9 @@
     int64_t updated_ms;       /* when the level was last computed */
     uint32_t total_spent;     /* by this host, modulo 2^32 */
     uint32_t announced_spent; /* total_spent last announced */
-    double reserved;     /* units for rejected callers told when to retry */
-    double others_rate;  /* units per ms that other hosts spend */
-    double others_spent; /* units of other hosts in the current slice */
+    double reserved;          /* units for the retries of rejected callers */
+    double others_rate;       /* units per ms that other hosts spend */
+    double others_spent;      /* units of other hosts in the current slice */
     int64_t slice_started_ms;
     quota_report_t *reports; /* by index of the host; NULL before the first */
     uint64_t allowed;
--- a/relay/request.c
+++ b/relay/request.c
@@ -292,7 +292,8 @@
             abandon_attempt(request);
             continue;
         }
-        /* Placement after a first attempt is a retry and needs a share. */
+        /* Placement after a first attempt is a retry and must be within the
+         * share. */
         if (request->server != NULL || now < request->not_before_ms ||
             (request->sends > 0 && now < request->placement_deadline_ms &&
              !retry_share_can_retry(&relay->retry_shares, request->service,
--- a/relay/request.h
+++ b/relay/request.h
@@ -59,7 +59,7 @@
     /* The current attempt. */
     exchange_t *exchange;
     server_t *server;
-    int64_t weights_version; /* that an engine is told to answer with */
+    int64_t weights_version; /* that an engine must answer with */
     int64_t sent_ms;
     int64_t answer_started_ms; /* first event or whole answer of this server */
     prefix_t prefix;
--- a/relay/servers.c
+++ b/relay/servers.c
@@ -357,8 +357,8 @@
 
 /* Returns whether other servers may fetch cached parts from this one.  An
  * unreachable server takes in nothing new, so its estimated cache contents
- * never change; a server told to fetch from it waits some hundred ms and then
- * prefills the prompt anyway. */
+ * never change; a server that is to fetch from it waits some hundred ms and
+ * then prefills the prompt anyway. */
 bool
 server_is_fetch_source(const server_t *server, int64_t now_ms)
 {
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -26,7 +26,7 @@
     collected->grew[collected->count++] = event->added;
 }
 
-START_TEST(list_gives_its_parts_and_its_place)
+START_TEST(list_gives_its_parts_and_position)
 {
     static const char text[] =
         "{\"epoch\":77120,\"next\":120,\"held\":[[\"s1\",\"5c1e\",800,\"m\"],"
@@ -226,12 +226,12 @@
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
     relay_config_t config = {0};
-    cache_follower_t *follows = cache_follower_new(relay);
+    cache_follower_t *follower = cache_follower_new(relay);
     relay->servers_listed = true;
     relay->config = &config;
-    cache_follower_tick(follows);
-    ck_assert_uint_eq(cache_follower_cache_count(follows), 0);
-    free(follows);
+    cache_follower_tick(follower);
+    ck_assert_uint_eq(cache_follower_cache_count(follower), 0);
+    free(follower);
     relay_free(relay);
 }
 END_TEST
@@ -246,9 +246,9 @@
 
 /* Simulates requests for shared parts at an engine, three of four of which
  * come from hosts that announce nothing to this daemon.  Returns how many of
- * this daemon's requests are for a part that it wrongly counts as held. */
+ * this daemon's requests are for a part that it wrongly counts as cached. */
 static unsigned
-simulate(bool follows)
+simulate(bool followed)
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
@@ -269,7 +269,7 @@
             cached_parts_use(server->cached_parts, &part);
             cached_parts_add_unshared(server->cached_parts, UNSHARED_TOKENS);
         }
-        for (uint64_t other_key = 1; follows && other_key <= PARTS;
+        for (uint64_t other_key = 1; followed && other_key <= PARTS;
              other_key++) {
             const cached_part_t seen = {other_key, PART_TOKENS, PART_TOKENS};
             if (cached_parts_has(truth, other_key)) {
@@ -295,7 +295,7 @@
 }
 END_TEST
 
-TEST_MAIN("cache-events", list_gives_its_parts_and_its_place,
+TEST_MAIN("cache-events", list_gives_its_parts_and_position,
           events_give_changes_and_gaps, malformed_answer_is_an_error,
           peers_are_notified_of_changes_only,
           eviction_notice_of_a_peer_is_applied,
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -7,13 +7,13 @@
 #define HOSTS 78
 #define THREADS 764
 #define THREAD_TOKENS 5000
-#define OWN_TOKENS 6600
+#define UNSHARED_TOKENS_MEAN 6600
 #define PROMPTS_PER_S 155
 #define LINK_TOKENS_PER_MS 576.0
-#define GIVEN_UP_MS 2000
+#define GIVE_UP_WAIT_MS 2000
 #define IN_TIME_MS 300
 #define EVICTED_OF_10 3 /* of 10 requested threads, evicted by the engine */
-#define SPAN_MS 20000
+#define RUN_MS 20000
 
 /* A store behind one link that makes its transfers one after the other. */
 typedef struct {
@@ -27,10 +27,10 @@
 } store_t;
 
 static uint32_t
-own_tokens(rng_t *rng)
+random_unshared_tokens(rng_t *rng)
 {
     double u = (double)(1 + rng_below(rng, 1000000)) / 1000001;
-    return (uint32_t)(-log(u) * OWN_TOKENS);
+    return (uint32_t)(-log(u) * UNSHARED_TOKENS_MEAN);
 }
 
 /* Starts a transfer, which ends when the link is free; false if it is given
@@ -39,7 +39,7 @@
 transfer(store_t *store, double now, double tokens)
 {
     double start = store->free_ms > now ? store->free_ms : now;
-    if (start - now > GIVEN_UP_MS) {
+    if (start - now > GIVE_UP_WAIT_MS) {
         return false;
     }
     store->free_ms = start + tokens / LINK_TOKENS_PER_MS;
@@ -56,19 +56,20 @@
     rng_t rng = {11};
     unsigned requested = 0;
     unsigned fetched = 0;
-    for (int64_t now = 1; now <= SPAN_MS; now++) {
+    for (int64_t now = 1; now <= RUN_MS; now++) {
         if (rng_below(&rng, 1000) >= PROMPTS_PER_S) {
             continue;
         }
         size_t thread = rng_below(&rng, THREADS);
         bool same_dc = rng_below(&rng, 5) == 0;
-        const save_params_t params = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
-                                      .hosts = HOSTS,
-                                      .same_dc = same_dc,
-                                      .shared_tokens = THREAD_TOKENS,
-                                      .unshared_tokens = own_tokens(&rng)};
+        const save_params_t params = {
+            .link_tokens_per_ms = LINK_TOKENS_PER_MS,
+            .hosts = HOSTS,
+            .same_dc = same_dc,
+            .shared_tokens = THREAD_TOKENS,
+            .unshared_tokens = random_unshared_tokens(&rng)};
         double cost = same_dc ? 1.0 : 2.0;
-        bool counts = now > SPAN_MS / 2;
+        bool counts = now > RUN_MS / 2;
         if (rng_below(&rng, 10) < EVICTED_OF_10) {
             requested += counts;
             fetched +=
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -43,7 +43,7 @@
     bool admission;
     int64_t run_ms;
     int64_t warm_ms;
-    size_t refused;
+    size_t rejected;
     double prefill_tokens; /* of prompts admitted after warm_ms */
     rng_t rng;
 } fleet_t;
@@ -128,7 +128,7 @@
         .remaining_ms = DEADLINE_MS,
         .engine = true};
     if (fleet->admission && admit_retry_after_ms(&input) > 0) {
-        fleet->refused++;
+        fleet->rejected++;
         return;
     }
     fleet->prefill_tokens += now > fleet->warm_ms ? tokens : 0;
@@ -227,8 +227,8 @@
     return waits[(size_t)((double)(count - 1) * quantile)];
 }
 
-/* Callers of the flag route expect the first token within a second.  A tenth
- * of that may be spent on queueing, a fifth where prompts take 140 ms to
+/* Callers of an interactive route expect the first token within a second.  A
+ * tenth of that may be spent on queueing, a fifth where prompts take 140 ms to
  * prefill. */
 #define SMALL_WAIT_MS 100
 #define LARGE_WAIT_MS 200
@@ -287,12 +287,12 @@
 END_TEST
 
 /* Guards against rejecting requests while the servers have capacity left. */
-START_TEST(no_request_is_refused_below_capacity)
+START_TEST(no_request_is_rejected_below_capacity)
 {
     fleet_t *fleet = fleet_new(1);
     fleet->admission = true;
     fleet_run(fleet, 0.7, 1800);
-    ck_assert_uint_eq(fleet->refused, 0);
+    ck_assert_uint_eq(fleet->rejected, 0);
     fleet_free(fleet);
 }
 END_TEST
@@ -323,4 +323,5 @@
 TEST_MAIN("place-fleet", small_prompts_spread_over_servers,
           large_prompts_spread_over_servers,
           overload_leaves_time_for_generation,
-          no_request_is_refused_below_capacity, penalties_do_not_count_as_wait)
+          no_request_is_rejected_below_capacity,
+          penalties_do_not_count_as_wait)
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -37,7 +37,7 @@
     quota_limit_t limit;
     double load;            /* units requested a ms, of all hosts */
     double skew;            /* share of the load that the first host gets */
-    unsigned lost;          /* datagrams of a hundred */
+    unsigned loss_percent;  /* share of datagrams that are lost */
     double large;           /* units of the largest request */
     double allowed[RUN_MS]; /* units allowed in each ms */
     double exact;           /* level of the exact bucket */
@@ -73,7 +73,7 @@
     sim->limit = (quota_limit_t){rate, rate};
     sim->exact = rate;
     sim->rng.state = seed;
-    sim->lost = 1;
+    sim->loss_percent = 1;
     sim->large = 12000;
     for (size_t i = 0; i < hosts; i++) {
         quotas_init(&sim->quotas[i], &bounds, 1, 0);
@@ -96,7 +96,7 @@
 {
     for (size_t to = 0; to < sim->hosts; to++) {
         if (to == from || sim->group[to] != sim->group[from] ||
-            rng_below(&sim->rng, 100) < sim->lost) {
+            rng_below(&sim->rng, 100) < sim->loss_percent) {
             continue;
         }
         ck_assert_uint_lt(sim->in_flight_count, DATAGRAMS_MAX);
@@ -479,7 +479,7 @@
 START_TEST(a_refund_reaches_other_hosts)
 {
     sim_t *sim = sim_new(2, 10000, 1);
-    sim->lost = 0;
+    sim->loss_percent = 0;
     sim_run(sim, 0, 21000);
     quota_t *here = quotas_find(&sim->quotas[0], WORKSPACE);
     quota_t *there = quotas_find(&sim->quotas[1], WORKSPACE);
