--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -61,7 +61,7 @@
         if (seq->req != NULL) {
             http_req_stream(seq->req, 200, "text/event-stream");
             http_req_end(seq->req, false);
-            http_req_release(seq->req);
+            http_req_unref(seq->req);
         }
         seq_free(engine, seq);
     }
@@ -246,7 +246,7 @@
     else {
         finish_response(seq);
     }
-    http_req_release(seq->req);
+    http_req_unref(seq->req);
     seq->req = NULL;
 }
 
@@ -331,13 +331,13 @@
     CK_LIST_FOREACH_SAFE (seq, &engine->seqs, entry, next) {
         if (seq->req != NULL && !seq->stalled &&
             http_req_is_disconnected(seq->req)) {
-            http_req_release(seq->req);
+            http_req_unref(seq->req);
             seq->req = NULL;
         }
         if (seq->done && now - seq->ended_ms > ENDED_RETENTION_MS) {
             if (seq->req != NULL) {
                 http_req_end(seq->req, false);
-                http_req_release(seq->req);
+                http_req_unref(seq->req);
             }
             seq_free(engine, seq);
         }
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -30,11 +30,11 @@
                              engine->version);
         return;
     }
-    http_req_hold(req);
+    http_req_ref(req);
     seq_t *seq = engine_admit(engine, body, req, &err);
     if (seq == NULL) {
         http_req_reply_error(req, 400, "bad_request", "%s", err.text);
-        http_req_release(req);
+        http_req_unref(req);
         return;
     }
     add_identity(engine, req);
@@ -65,9 +65,9 @@
     }
     if (seq->req != NULL) {
         http_req_end(seq->req, false);
-        http_req_release(seq->req);
+        http_req_unref(seq->req);
     }
-    http_req_hold(req);
+    http_req_ref(req);
     seq->req = req;
     seq->stalled = false;
     seq->stream = true;
@@ -89,7 +89,7 @@
         seq->ended_ms = time_mono_ms();
         if (seq->req != NULL) {
             http_req_end(seq->req, false);
-            http_req_release(seq->req);
+            http_req_unref(seq->req);
             seq->req = NULL;
         }
     }
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -66,7 +66,7 @@
         return;
     }
     pending_t *pending = mem_zalloc(sizeof(*pending));
-    http_req_hold(req);
+    http_req_ref(req);
     pending->req = req;
     pending->due_ms = time_mono_ms() + service->delay_ms;
     CK_LIST_INSERT_HEAD(&service->pendings, pending, entry);
@@ -129,7 +129,7 @@
             continue;
         }
         apply_effect(service, pending->req);
-        http_req_release(pending->req);
+        http_req_unref(pending->req);
         CK_LIST_REMOVE(pending, entry);
         free(pending);
     }
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -109,7 +109,7 @@
             continue;
         }
         reply_object(watcher->req, json_object_get(store->objects, name));
-        http_req_release(watcher->req);
+        http_req_unref(watcher->req);
         CK_LIST_REMOVE(watcher, entry);
         free(watcher);
     }
@@ -122,7 +122,7 @@
     int64_t timeout_ms =
         timeout == NULL ? WATCH_TIMEOUT_S * 1000 : strtoll(timeout, NULL, 10);
     watcher_t *watcher = mem_zalloc(sizeof(*watcher));
-    http_req_hold(req);
+    http_req_ref(req);
     watcher->req = req;
     watcher->version = version;
     watcher->due_ms = time_mono_ms() + timeout_ms;
@@ -268,7 +268,7 @@
     /* When slow, each request but /control waits here and is handled, with
      * its effect, when the delay is over. */
     delayed_request_t *delayed = mem_zalloc(sizeof(*delayed));
-    http_req_hold(req);
+    http_req_ref(req);
     delayed->req = req;
     delayed->due_ms = time_mono_ms() + store->delay_ms;
     CK_LIST_INSERT_HEAD(&store->delayed_requests, delayed, entry);
@@ -286,7 +286,7 @@
             continue;
         }
         http_req_reply(watcher->req, 204, "text/plain", "", 0);
-        http_req_release(watcher->req);
+        http_req_unref(watcher->req);
         CK_LIST_REMOVE(watcher, entry);
         free(watcher);
     }
@@ -297,7 +297,7 @@
             continue;
         }
         handle_now(store, delayed->req);
-        http_req_release(delayed->req);
+        http_req_unref(delayed->req);
         CK_LIST_REMOVE(delayed, entry);
         free(delayed);
     }
--- a/kernel/admin.c
+++ b/kernel/admin.c
@@ -53,7 +53,7 @@
     (void)command_run(job->daemon, job->operator_name, job->line,
                       job->if_generation, &reply, &status);
     http_req_reply_json(job->req, status, reply);
-    http_req_release(job->req);
+    http_req_unref(job->req);
     free(job->line);
     free(job);
 }
@@ -64,7 +64,7 @@
                int64_t if_generation)
 {
     command_job_t *job = mem_zalloc(sizeof(*job));
-    http_req_hold(req);
+    http_req_ref(req);
     job->daemon = daemon;
     job->req = req;
     job->line = strdup(line);
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -134,8 +134,8 @@
     resume_t resume;
     uint32_t offset;
     err_t err = {0};
-    if (resume_open(&resume, call->daemon->settings.secret, last_event_id,
-                    &offset, &err) != 0) {
+    if (resume_token_verify(&resume, call->daemon->settings.secret,
+                            last_event_id, &offset, &err) != 0) {
         call_fail(call, 400, "bad_resume", OUTCOME_NOT_RUN, err.text);
         return;
     }
@@ -215,7 +215,7 @@
     call->queue_item.cost = chat->prefix.tokens;
     call_emit_event(call, "received", NULL);
     resume_or_dispatch(call, http_req_header(req, "Last-Event-ID"), config);
-    call_release(call);
+    call_unref(call);
 }
 
 static void
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -78,7 +78,7 @@
     (void)pthread_mutex_lock(&call->lock);
     call_reject(call, 429, code, retry_after, text);
     (void)pthread_mutex_unlock(&call->lock);
-    call_release(call);
+    call_unref(call);
 }
 
 /* Whether a chat is expected to wait past its deadline.  It is then rejected
@@ -248,7 +248,7 @@
         reject_unplaced(call);
     }
     (void)pthread_mutex_unlock(&call->lock);
-    call_release(call);
+    call_unref(call);
 }
 
 /* Send calls from a queue until its server is busy. */
@@ -293,12 +293,12 @@
     (void)pthread_mutex_lock(&call->lock);
     bool found = dispatch_place(call, &candidate);
     (void)pthread_mutex_unlock(&call->lock);
-    call_hold(call);
+    call_ref(call);
     if (!found) {
         (void)pthread_mutex_lock(&call->lock);
         reject_unplaced(call);
         (void)pthread_mutex_unlock(&call->lock);
-        call_release(call);
+        call_unref(call);
         return;
     }
     backend_queue_t *queue = queue_get_or_create(daemon, candidate.id);
@@ -309,7 +309,7 @@
     call->queue_item.cost = uncached > COST_MIN ? uncached : COST_MIN;
     call->queue_item.placed_ms = time_mono_ms();
     if (send_if_idle(daemon, queue, call, &candidate)) {
-        call_release(call);
+        call_unref(call);
         return;
     }
     if (exceeds_deadline(call, &candidate)) {
@@ -364,7 +364,7 @@
             continue;
         }
         dispatch_submit(call);
-        call_release(call);
+        call_unref(call);
     }
 }
 
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -114,7 +114,7 @@
 static void
 abandon_attempt(call_t *call)
 {
-    http_client_cancel(call->daemon->http_client, call->xfer);
+    http_client_cancel(call->daemon->http_client, call->exchange_id);
     call_remove_from_view(call);
     call->attempt_number++;
 }
@@ -173,7 +173,7 @@
     (void)pthread_mutex_unlock(&call->lock);
     buf_free(&probe->body);
     free(probe);
-    call_release(call);
+    call_unref(call);
 }
 
 static void
@@ -181,7 +181,7 @@
 {
     char url[CS_ADDR_MAX + 128];
     probe_t *probe = mem_zalloc(sizeof(*probe));
-    call_hold(call);
+    call_ref(call);
     call->probing = true;
     probe->call = call;
     probe->attempt_number = call->attempt_number;
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -159,7 +159,7 @@
         handle_end(call, end, status);
     }
     (void)pthread_mutex_unlock(&call->lock);
-    call_release(call);
+    call_unref(call);
     free(attempt);
     dispatch_run(daemon);
 }
@@ -171,7 +171,7 @@
     char type[sizeof(call->u.service.content_type) + 16];
     service_call_t *service = &call->u.service;
     attempt_t *attempt = mem_zalloc(sizeof(*attempt));
-    call_hold(call);
+    call_ref(call);
     attempt->call = call;
     attempt->number = ++call->attempt_number;
     int64_t remaining_ms = call->deadline_ms - time_mono_ms();
@@ -195,7 +195,7 @@
         request.body_len = service->body.len;
     }
     request.headers[0] = type;
-    call->xfer = http_client_start(call->daemon->http_client, &request);
+    call->exchange_id = http_client_start(call->daemon->http_client, &request);
 }
 
 /* Send a service call to the chosen server.  The call's lock is held. */
@@ -259,7 +259,7 @@
             call_emit_event(call, "claimed", NULL);
             (void)pthread_mutex_unlock(&call->lock);
             dispatch_submit(call);
-            call_release(call);
+            call_unref(call);
             return;
         case CLAIM_DONE:
             replay_outcome(call, op);
@@ -278,7 +278,7 @@
             break;
     }
     (void)pthread_mutex_unlock(&call->lock);
-    call_release(call);
+    call_unref(call);
 }
 
 static void
@@ -294,7 +294,7 @@
     }
     op->on_done = on_claim;
     op->arg = call;
-    call_hold(call);
+    call_ref(call);
     claim_log_submit(call->daemon->claims, op);
 }
 
@@ -349,5 +349,5 @@
     else {
         dispatch_submit(call);
     }
-    call_release(call);
+    call_unref(call);
 }
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -28,7 +28,7 @@
 attempt_new(call_t *call, bool resume)
 {
     attempt_t *attempt = mem_zalloc(sizeof(*attempt));
-    call_hold(call);
+    call_ref(call);
     attempt->call = call;
     attempt->number = ++call->attempt_number;
     attempt->resume = resume;
@@ -42,7 +42,7 @@
 static void
 attempt_free(attempt_t *attempt)
 {
-    call_release(attempt->call);
+    call_unref(attempt->call);
     buf_free(&attempt->error);
     free(attempt);
 }
@@ -87,8 +87,8 @@
              call->incarnation);
     str_copy(resume.stream, sizeof(resume.stream), call->stream_id);
     str_copy(resume.version, sizeof(resume.version), call->version);
-    resume_seal(&resume, call->daemon->settings.secret,
-                call->u.chat.resume_token);
+    resume_token_sign(&resume, call->daemon->settings.secret,
+                      call->u.chat.resume_token);
 }
 
 /* Handle the first token of an attempt: report the time that it took to the
@@ -232,7 +232,7 @@
     if (http_req_is_disconnected(call->req) ||
         http_req_backlog(call->req) > BACKLOG_BYTES_MAX) {
         call_emit_event(call, "caller-gone", NULL);
-        http_client_cancel(call->daemon->http_client, call->xfer);
+        http_client_cancel(call->daemon->http_client, call->exchange_id);
         call_fail(call, 499, "caller_gone", OUTCOME_UNKNOWN,
                   "the caller does not read");
     }
@@ -389,7 +389,7 @@
                            .arg = attempt};
     request.headers[0] = "Content-Type: application/json";
     request.headers[1] = "Accept: text/event-stream";
-    call->xfer = http_client_start(call->daemon->http_client, &request);
+    call->exchange_id = http_client_start(call->daemon->http_client, &request);
 }
 
 /* Send a chat to the chosen server.  The call's lock is held. */
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -58,7 +58,7 @@
     call->queue_item.share = workspace->share;
     call->queue_item.deadline_ms = call->deadline_ms;
     call->queue_item.owner = call;
-    http_req_hold(req);
+    http_req_ref(req);
     http_req_reply_header(req, REQUEST_HEADER, call->id);
     LOCK_SCOPE(&daemon->calls_lock);
     call->refs++;
@@ -68,7 +68,7 @@
 }
 
 void
-call_hold(call_t *call)
+call_ref(call_t *call)
 {
     (void)__atomic_add_fetch(&call->refs, 1, __ATOMIC_RELAXED);
 }
@@ -90,14 +90,14 @@
             buf_free(&call->u.service.reply);
             break;
     }
-    http_req_release(call->req);
+    http_req_unref(call->req);
     (void)pthread_mutex_destroy(&call->lock);
     free(call);
 }
 
 /* Drop a reference; the last one frees the call. */
 void
-call_release(call_t *call)
+call_unref(call_t *call)
 {
     if (__atomic_sub_fetch(&call->refs, 1, __ATOMIC_ACQ_REL) == 0) {
         call_free(call);
@@ -171,7 +171,7 @@
     CK_LIST_REMOVE(call, entry);
     daemon->call_count--;
     (void)pthread_mutex_unlock(&daemon->calls_lock);
-    call_release(call);
+    call_unref(call);
 }
 
 static json_t *
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -75,14 +75,14 @@
     call_t *call;
     CK_LIST_FOREACH (call, &daemon->calls, entry) {
         if (call->kind == CALL_CHAT) {
-            call_hold(call);
+            call_ref(call);
             calls[count++] = call;
         }
     }
     (void)pthread_mutex_unlock(&daemon->calls_lock);
     for (size_t i = 0; i < count; i++) {
         chat_tick(calls[i], now);
-        call_release(calls[i]);
+        call_unref(calls[i]);
     }
     free(calls);
 }
@@ -143,7 +143,7 @@
 static void
 start_draining(celeryspoold_t *daemon)
 {
-    daemon_set_state(daemon, STATE_LEAVING);
+    daemon_set_state(daemon, STATE_DRAINING);
     log_info("daemon", "Draining; %zu requests are running.",
              daemon_call_count(daemon));
     event_emit(&(event_t){.kind = "daemon-leaving"});
@@ -177,7 +177,7 @@
         daemon_set_state(daemon, STATE_READY);
         log_info("daemon", "The maintenance window is over; ready again.");
         if (stop_is_requested(daemon)) {
-            daemon_set_state(daemon, STATE_LEAVING);
+            daemon_set_state(daemon, STATE_DRAINING);
         }
     }
 }
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -16,7 +16,7 @@
 #define TRIED_MAX 4
 #define CALL_DEADLINE_MAX_MS 600000
 
-typedef enum { STATE_WARMING, STATE_READY, STATE_LEAVING } daemon_state_t;
+typedef enum { STATE_WARMING, STATE_READY, STATE_DRAINING } daemon_state_t;
 
 /* The outcome of a request, reported to its caller in each answer. */
 typedef enum { OUTCOME_DONE, OUTCOME_NOT_RUN, OUTCOME_UNKNOWN } outcome_t;
@@ -147,7 +147,7 @@
     /* The current attempt: one exchange with one backend server.  Callbacks
      * of an older attempt carry a smaller number and are ignored. */
     unsigned attempt_number;
-    uint64_t xfer;
+    uint64_t exchange_id;
     bool first_token_received; /* a new token arrived in this attempt */
     bool counted_in_view; /* this attempt is counted as load in the view */
     char placement_reason[200]; /* why the policy chose this server */
@@ -172,8 +172,8 @@
 call_t *call_new(celeryspoold_t *daemon, http_req_t *req, call_kind_t kind,
                  const workspace_t *workspace, const char *target);
 long call_timeout_ms(http_req_t *req);
-void call_hold(call_t *call);
-void call_release(call_t *call);
+void call_ref(call_t *call);
+void call_unref(call_t *call);
 void call_reject(call_t *call, int status, const char *code, int retry_after_s,
                  const char *text);
 void call_fail(call_t *call, int status, const char *code, outcome_t outcome,
--- a/kernel/exchange.h
+++ b/kernel/exchange.h
@@ -25,12 +25,12 @@
 typedef enum {
     HEAD_ACCEPT, /* pass the body to on_body */
     HEAD_SKIP    /* a response to another request: discard it */
-} head_verdict_t;
+} head_action_t;
 
 typedef struct {
     /* The head of a response was read; returns whether it belongs to this
      * request.  If NULL, every response is accepted. */
-    head_verdict_t (*on_head)(void *arg, const http_head_t *head);
+    head_action_t (*on_head)(void *arg, const http_head_t *head);
     void (*on_body)(void *arg, const char *data, size_t len);
     /* The last call; the exchange has been freed. */
     void (*on_end)(void *arg, exchange_end_t end);
--- a/kernel/fetch.c
+++ b/kernel/fetch.c
@@ -14,7 +14,7 @@
     void *arg;
 };
 
-static head_verdict_t
+static head_action_t
 on_head(void *arg, const http_head_t *head)
 {
     fetch_t *fetch = arg;
--- a/kernel/http-client.c
+++ b/kernel/http-client.c
@@ -136,7 +136,7 @@
     xfer->call.on_header(xfer->call.arg, name, value);
 }
 
-static head_verdict_t
+static head_action_t
 on_head(void *arg, const http_head_t *head)
 {
     xfer_t *xfer = arg;
--- a/kernel/http-server.c
+++ b/kernel/http-server.c
@@ -96,7 +96,7 @@
 
 /* Takes a reference, so that the request outlives the handler's return. */
 void
-http_req_hold(http_req_t *req)
+http_req_ref(http_req_t *req)
 {
     LOCK_SCOPE(&req->lock);
     req->refs++;
@@ -104,7 +104,7 @@
 
 /* Drops a reference; the last one frees the request. */
 void
-http_req_release(http_req_t *req)
+http_req_unref(http_req_t *req)
 {
     (void)pthread_mutex_lock(&req->lock);
     bool last = --req->refs == 0;
@@ -134,7 +134,7 @@
 on_disconnect(void *owner)
 {
     (void)req_detach(owner);
-    http_req_release(owner);
+    http_req_unref(owner);
 }
 
 /* A complete reply is not modified any more, so no lock is needed. */
@@ -145,7 +145,7 @@
     caller_set_owner(caller, NULL);
     caller_answer(caller, req->status, &req->headers, buf_text(&req->out),
                   req->out.len);
-    http_req_release(req);
+    http_req_unref(req);
 }
 
 /* Writes the buffered part of a stream; true once all of it is written. */
@@ -173,7 +173,7 @@
 {
     caller_t *caller = req_detach(req);
     caller_set_owner(caller, NULL);
-    http_req_release(req);
+    http_req_unref(req);
     if (complete) {
         caller_stream_end(caller);
     }
@@ -230,7 +230,7 @@
     worker->writing = true;
     while ((req = take_pending(worker)) != NULL) {
         req_write(req);
-        http_req_release(req);
+        http_req_unref(req);
     }
     worker->writing = false;
 }
@@ -293,9 +293,9 @@
     worker_t *worker = arg;
     http_req_t *req = req_new(worker, caller, head, body);
     caller_set_owner(caller, req);
-    http_req_hold(req);
+    http_req_ref(req);
     worker->server->opts.handler(req, worker->server->opts.arg);
-    http_req_release(req);
+    http_req_unref(req);
     write_pending(worker);
 }
 
--- a/kernel/http.h
+++ b/kernel/http.h
@@ -36,9 +36,9 @@
 const char *http_req_body(const http_req_t *req, size_t *len);
 
 /* The response.  A handler that responds after it has returned takes a
- * reference with http_req_hold and drops it with http_req_release. */
-void http_req_hold(http_req_t *req);
-void http_req_release(http_req_t *req);
+ * reference with http_req_ref and drops it with http_req_unref. */
+void http_req_ref(http_req_t *req);
+void http_req_unref(http_req_t *req);
 void http_req_reply_header(http_req_t *req, const char *name,
                            const char *value);
 void http_req_reply(http_req_t *req, int status, const char *type,
--- a/kernel/members.c
+++ b/kernel/members.c
@@ -93,7 +93,7 @@
 static bool
 can_hold_duties(const member_t *member)
 {
-    return member->health != MEMBER_DEAD && member->intent == MEMBER_LIVE;
+    return member->health != MEMBER_DEAD && member->intent == MEMBER_SERVING;
 }
 
 /* Whether this daemon owns a duty, by rendezvous hashing over the live
@@ -166,7 +166,7 @@
     uint64_t key = str_hash(duty, 0);
     member_node_t *node;
     size_t count = 0;
-    if (members->self.intent == MEMBER_LIVE) {
+    if (members->self.intent == MEMBER_SERVING) {
         count = insert_owner(&members->self, key, out, count, max);
     }
     CK_LIST_FOREACH (node, &members->list, entry) {
--- a/kernel/peer-codec.c
+++ b/kernel/peer-codec.c
@@ -205,7 +205,8 @@
         return false;
     }
     member->health = (member_health_t)health;
-    member->intent = intent == MEMBER_LEAVING ? MEMBER_LEAVING : MEMBER_LIVE;
+    member->intent =
+        intent == MEMBER_LEAVING ? MEMBER_LEAVING : MEMBER_SERVING;
     member->config_generation = (int64_t)generation;
     return true;
 }
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -420,10 +420,10 @@
     celeryspoold_t *daemon = peer->daemon;
     member_outbox_t *out = mem_zalloc(sizeof(*out));
     config_t *config = daemon_config(daemon);
-    members_tick(
-        daemon->members, time_mono_ms(), config->generation,
-        daemon_state(daemon) == STATE_LEAVING ? MEMBER_LEAVING : MEMBER_LIVE,
-        out);
+    members_tick(daemon->members, time_mono_ms(), config->generation,
+                 daemon_state(daemon) == STATE_DRAINING ? MEMBER_LEAVING
+                                                        : MEMBER_SERVING,
+                 out);
     config_release(config);
     send_members(peer, out);
     free(out);
--- a/kernel/resume.c
+++ b/kernel/resume.c
@@ -41,8 +41,8 @@
 /* Seal the identity of a stream into a token, to which the caller of this
  * function appends ".OFFSET". */
 void
-resume_seal(const resume_t *resume, const unsigned char *secret,
-            char out[RESUME_TOKEN_MAX])
+resume_token_sign(const resume_t *resume, const unsigned char *secret,
+                  char out[RESUME_TOKEN_MAX])
 {
     unsigned char raw[RAW_BYTES_MAX + MAC_BYTES];
     int len =
@@ -86,8 +86,8 @@
 /* Open "TOKEN.OFFSET".  A token that was sealed with another key or has been
  * changed is an error. */
 int
-resume_open(resume_t *resume, const unsigned char *secret, const char *text,
-            uint32_t *offset, err_t *err)
+resume_token_verify(resume_t *resume, const unsigned char *secret,
+                    const char *text, uint32_t *offset, err_t *err)
 {
     unsigned char raw[RAW_BYTES_MAX + MAC_BYTES + 1];
     unsigned char expected[MAC_BYTES];
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -75,7 +75,7 @@
     switch (daemon_state(daemon)) {
         case STATE_WARMING:
             return "warming";
-        case STATE_LEAVING:
+        case STATE_DRAINING:
             return "leaving";
         case STATE_READY:
             break;
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -10,7 +10,7 @@
 facts_to_json(celeryspoold_t *daemon, size_t max)
 {
     json_t *list = json_array();
-    cache_fact_t *facts = mem_zalloc(max * sizeof(*facts));
+    cached_level_t *facts = mem_zalloc(max * sizeof(*facts));
     size_t count = cache_map_list_reused(daemon->cache, facts, max);
     for (size_t i = 0; i < count; i++) {
         backend_state_t state;
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -25,7 +25,7 @@
     uint64_t key;
     uint32_t tokens;
     uint16_t backend;
-} cache_fact_t;
+} cached_level_t;
 
 cache_map_t *cache_map_new(size_t entries_max);
 void cache_map_free(cache_map_t *map);
@@ -44,7 +44,7 @@
                               uint16_t *out, size_t max);
 bool cache_map_has_key(cache_map_t *map, uint64_t key);
 size_t cache_map_size(cache_map_t *map);
-size_t cache_map_list_reused(cache_map_t *map, cache_fact_t *facts,
+size_t cache_map_list_reused(cache_map_t *map, cached_level_t *facts,
                              size_t max);
 size_t cache_map_memory_bytes(cache_map_t *map);
 
@@ -73,7 +73,7 @@
     bool host_leaving; /* according to the platform's host list */
     int64_t reported_ms;
     /* Own uncached tokens sent since the last report and not yet prefilled. */
-    double sent_since_report;
+    double sent_tokens_since_report;
     /* Own uncached tokens of requests without a first token yet. */
     double own_waiting_tokens;
     int own_running;
@@ -214,16 +214,16 @@
 
 #define RESUME_TOKEN_MAX 600
 
-void resume_seal(const resume_t *resume, const unsigned char *secret,
-                 char out[RESUME_TOKEN_MAX]);
-int resume_open(resume_t *resume, const unsigned char *secret,
-                const char *text, uint32_t *offset, err_t *err);
+void resume_token_sign(const resume_t *resume, const unsigned char *secret,
+                       char out[RESUME_TOKEN_MAX]);
+int resume_token_verify(resume_t *resume, const unsigned char *secret,
+                        const char *text, uint32_t *offset, err_t *err);
 void cache_salt_derive(const unsigned char *secret, const char *workspace,
                        const char *model, char out[CS_ID_LEN + 1]);
 
 /* ---- membership ---- */
 
-typedef enum { MEMBER_LIVE, MEMBER_LEAVING } member_intent_t;
+typedef enum { MEMBER_SERVING, MEMBER_LEAVING } member_intent_t;
 typedef enum { MEMBER_ALIVE, MEMBER_SUSPECT, MEMBER_DEAD } member_health_t;
 
 typedef struct {
--- a/kernel/view.c
+++ b/kernel/view.c
@@ -107,7 +107,7 @@
     state->load = *report;
     state->reported = true;
     state->reported_ms = now_ms;
-    state->sent_since_report = 0;
+    state->sent_tokens_since_report = 0;
     return changed;
 }
 
@@ -135,7 +135,7 @@
 {
     LOCK_SCOPE(&view->lock);
     backend_state_t *state = &view->states[id];
-    state->sent_since_report += tokens;
+    state->sent_tokens_since_report += tokens;
     state->own_waiting_tokens += tokens;
     state->own_running++;
 }
@@ -144,11 +144,12 @@
 subtract_prefill(backend_state_t *state, double tokens)
 {
     state->own_waiting_tokens -= tokens;
-    state->sent_since_report -= tokens;
+    state->sent_tokens_since_report -= tokens;
     state->own_waiting_tokens =
         state->own_waiting_tokens < 0 ? 0 : state->own_waiting_tokens;
-    state->sent_since_report =
-        state->sent_since_report < 0 ? 0 : state->sent_since_report;
+    state->sent_tokens_since_report = state->sent_tokens_since_report < 0
+                                          ? 0
+                                          : state->sent_tokens_since_report;
 }
 
 /* Records the first token of a request.  The ratio of the observed time to
@@ -243,7 +244,8 @@
 double
 view_expected_wait_ms(const backend_state_t *state)
 {
-    double tokens = state->load.waiting_tokens + state->sent_since_report;
+    double tokens =
+        state->load.waiting_tokens + state->sent_tokens_since_report;
     int slots = state->load.slots > 0 ? state->load.slots : SLOTS_DEFAULT;
     int running = state->load.running > state->own_running
                       ? state->load.running
--- a/plugins/cmd-show.c
+++ b/plugins/cmd-show.c
@@ -116,7 +116,7 @@
 static json_t *
 show_cached(celeryspoold_t *daemon)
 {
-    cache_fact_t facts[CACHE_ROWS_MAX];
+    cached_level_t facts[CACHE_ROWS_MAX];
     json_t *rows = json_array();
     size_t count = cache_map_list_reused(daemon->cache, facts, CACHE_ROWS_MAX);
     for (size_t i = 0; i < count; i++) {
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -58,10 +58,11 @@
     peers->next_round_ms = now + members_tick_interval_ms();
     update_retry_slack(peers, now);
     peers_note_quota_hosts(peers);
-    members_tick(peers->members, now,
-                 relay->config != NULL ? relay->config->revision : 0,
-                 relay->stop_requested_ms != 0 ? MEMBER_LEAVING : MEMBER_LIVE,
-                 &peers->member_messages);
+    members_tick(
+        peers->members, now,
+        relay->config != NULL ? relay->config->revision : 0,
+        relay->stop_requested_ms != 0 ? MEMBER_LEAVING : MEMBER_SERVING,
+        &peers->member_messages);
     peers_send_members(peers);
 }
 
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -302,7 +302,7 @@
     probe_server(request->relay, server);
 }
 
-static head_verdict_t
+static head_action_t
 on_head(void *arg, const http_head_t *head)
 {
     request_t *request = arg;
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -108,7 +108,7 @@
 
 /* ---- answers ---- */
 
-static head_verdict_t
+static head_action_t
 on_head(void *arg, const http_head_t *head)
 {
     caller_t *caller = arg;
--- a/tests/test-http-edges.c
+++ b/tests/test-http-edges.c
@@ -34,7 +34,7 @@
         free(text);
     }
     else if (strcmp(path, "/later") == 0 || strcmp(path, "/stream") == 0) {
-        http_req_hold(req);
+        http_req_ref(req);
         __atomic_store_n(&held_req, req, __ATOMIC_RELEASE);
     }
     else if (strcmp(path, "/cut") == 0) {
@@ -205,7 +205,7 @@
         http_req_t *req = wait_held_req();
         ck_assert_uint_eq(__atomic_load_n(&handled, __ATOMIC_RELAXED) % 3, 2);
         http_req_reply(req, 200, "text/plain", "second", 6);
-        http_req_release(req);
+        http_req_unref(req);
         receive(fd, &got, SIZE_MAX);
         const char *first = strstr(buf_text(&got), "/1|");
         const char *second = strstr(buf_text(&got), "second");
@@ -238,7 +238,7 @@
     ck_assert_str_eq(buf_text(&reply), "half");
     call.url = url("/later");
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_TIMEOUT);
-    http_req_release(wait_held_req());
+    http_req_unref(wait_held_req());
     call.url = "http://127.0.0.1:1/nobody";
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_UNSENT);
     http_server_stop(server);
@@ -268,7 +268,7 @@
         time_sleep_ms(1);
     }
     ck_assert(http_req_is_disconnected(req));
-    http_req_release(req);
+    http_req_unref(req);
     http_server_stop(server);
 }
 END_TEST
@@ -324,7 +324,7 @@
                         .on_end = on_end,
                         .arg = &outcome};
     uint64_t id = http_client_start(client, &call);
-    http_req_release(wait_held_req());
+    http_req_unref(wait_held_req());
     http_client_cancel(client, id);
     http_client_cancel(client, id);
     wait_ends(&outcome, 1);
@@ -337,14 +337,14 @@
     http_req_write(req, "a", 1);
     http_req_write(req, "b", 1);
     http_req_end(req, true);
-    http_req_release(req);
+    http_req_unref(req);
     wait_ends(&outcome, 2);
     ck_assert_uint_eq(outcome.complete, 1);
     ck_assert_str_eq(buf_text(&outcome.body), "ab");
     held_req = NULL;
     call.url = url("/later");
     (void)http_client_start(client, &call);
-    http_req_release(wait_held_req());
+    http_req_unref(wait_held_req());
     http_client_free(client);
     ck_assert_uint_eq(outcome.ends, 3);
     ck_assert_uint_eq(outcome.cancelled, 2);
@@ -370,7 +370,7 @@
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     ck_assert_int_ne(connect(other, (struct sockaddr *)&to, sizeof(to)), 0);
     http_req_reply(req, 200, "text/plain", "late", 4);
-    http_req_release(req);
+    http_req_unref(req);
     receive(fd, &got, SIZE_MAX);
     ck_assert(strstr(buf_text(&got), "Connection: close") != NULL);
     ck_assert(strstr(buf_text(&got), "late") != NULL);
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -82,7 +82,7 @@
 tick_member(fleet_t *fleet, size_t i, int64_t generation)
 {
     member_outbox_t *out = mem_zalloc(sizeof(*out));
-    members_tick(fleet->tables[i], fleet->now_ms, generation, MEMBER_LIVE,
+    members_tick(fleet->tables[i], fleet->now_ms, generation, MEMBER_SERVING,
                  out);
     deliver(fleet, out, 0);
     free(out);
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -79,7 +79,7 @@
 START_TEST(cache_map_stays_within_its_bound)
 {
     cache_map_t *map = cache_map_new(64);
-    cache_fact_t facts[256];
+    cached_level_t facts[256];
     for (uint64_t i = 0; i < 1000; i++) {
         (void)cache_map_add_holder(map, (uint16_t)(i % 12), i, 16);
         (void)cache_map_add_holder(map, (uint16_t)(i % 12), i, 16);
@@ -227,23 +227,26 @@
     err_t err;
     char token[RESUME_TOKEN_MAX];
     char id[RESUME_TOKEN_MAX + 16];
-    resume_seal(&resume, secret, token);
+    resume_token_sign(&resume, secret, token);
     (void)snprintf(id, sizeof(id), "%s.12", token);
-    ck_assert_int_eq(resume_open(&opened, secret, id, &offset, &err), 0);
+    ck_assert_int_eq(resume_token_verify(&opened, secret, id, &offset, &err),
+                     0);
     ck_assert_str_eq(opened.backend, "engine-1");
     ck_assert_uint_eq(offset, 12);
     ck_assert_uint_eq(opened.prompt_hash, 77);
-    ck_assert_int_eq(resume_open(&opened, other_secret, id, &offset, &err),
-                     -1);
+    ck_assert_int_eq(
+        resume_token_verify(&opened, other_secret, id, &offset, &err), -1);
     for (size_t i = 0; i + 4 < strlen(id); i++) {
         char modified[RESUME_TOKEN_MAX + 16];
         str_copy(modified, sizeof(modified), id);
         modified[i] = modified[i] == 'A' ? 'B' : 'A';
-        ck_assert_int_eq(resume_open(&opened, secret, modified, &offset, &err),
-                         -1);
+        ck_assert_int_eq(
+            resume_token_verify(&opened, secret, modified, &offset, &err), -1);
     }
-    ck_assert_int_eq(resume_open(&opened, secret, token, &offset, &err), -1);
-    ck_assert_int_eq(resume_open(&opened, secret, ".", &offset, &err), -1);
+    ck_assert_int_eq(
+        resume_token_verify(&opened, secret, token, &offset, &err), -1);
+    ck_assert_int_eq(resume_token_verify(&opened, secret, ".", &offset, &err),
+                     -1);
 }
 END_TEST
 
