--- a/kernel/cache-map.c
+++ b/kernel/cache-map.c
@@ -269,7 +269,7 @@
  * from which a peer warms up.  A level used only once most often belongs to a
  * single request and is left out. */
 size_t
-cache_map_list_reused(cache_map_t *map, cached_level_t *facts, size_t max)
+cache_map_list_reused(cache_map_t *map, cached_level_t *levels, size_t max)
 {
     size_t count = 0;
     LOCK_SCOPE(&map->lock);
@@ -277,8 +277,8 @@
          entry != NULL; entry = entry_from_link(entry->lru.older)) {
         for (int i = 0; i < entry->count && count < max; i++) {
             if (entry->uses > 1 && holder_is_valid(map, &entry->holders[i])) {
-                facts[count++] = (cached_level_t){entry->key, entry->tokens,
-                                                  entry->holders[i].backend};
+                levels[count++] = (cached_level_t){entry->key, entry->tokens,
+                                                   entry->holders[i].backend};
             }
         }
     }
--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -114,16 +114,16 @@
 /* List the servers that can take a call.  For a chat, version is set to the
  * weights version to use and the prefix is computed for it. */
 static size_t
-list_candidates(call_t *call, const place_context_t *scene,
+list_candidates(call_t *call, const place_context_t *context,
                 candidate_t *candidates, char version[CS_NAME_MAX])
 {
     static const prefix_t none = {0};
     if (call->kind == CALL_SERVICE) {
-        return place_list_candidates(scene, call->target, &none, NULL,
+        return place_list_candidates(context, call->target, &none, NULL,
                                      candidates, CANDIDATES_MAX);
     }
     chat_t *chat = &call->u.chat;
-    const model_t *model = config_find_model(scene->config, call->target);
+    const model_t *model = config_find_model(context->config, call->target);
     /* A stream that has started stays on its weights version. */
     str_copy(version, CS_NAME_MAX,
              chat->emitted > 0 ? call->version
@@ -131,27 +131,28 @@
                                : "");
     prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                    chat->salt, version);
-    size_t count = place_list_candidates(scene, call->target, &chat->prefix,
+    size_t count = place_list_candidates(context, call->target, &chat->prefix,
                                          version, candidates, CANDIDATES_MAX);
     if (count > 0 || chat->emitted > 0) {
         return count;
     }
     /* Until the first server has loaded a new version, the servers go on with
      * the old one; the prefix is then computed for the old version. */
-    count = place_list_candidates(scene, call->target, &chat->prefix, NULL,
+    count = place_list_candidates(context, call->target, &chat->prefix, NULL,
                                   candidates, CANDIDATES_MAX);
     if (count > 0) {
         str_copy(version, CS_NAME_MAX, candidates[0].version);
         prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                        chat->salt, version);
-        count = place_list_candidates(scene, call->target, &chat->prefix,
+        count = place_list_candidates(context, call->target, &chat->prefix,
                                       version, candidates, CANDIDATES_MAX);
     }
     return count;
 }
 
 /* Choose a backend server for a call; false if there is none.  The call's lock
- * is held.  out->backend is not valid after return. */
+ * is held.  out->backend points into a configuration that may be freed before
+ * this returns. */
 bool
 dispatch_place(call_t *call, candidate_t *out)
 {
@@ -159,28 +160,28 @@
     candidate_t candidates[CANDIDATES_MAX];
     char version[CS_NAME_MAX] = "";
     config_t *config = daemon_config(daemon);
-    place_context_t scene = {.config = config,
-                             .view = daemon->view,
-                             .cache = daemon->cache,
-                             .dc = daemon->settings.dc,
-                             .now_ms = time_mono_ms(),
-                             .wall_ms = time_wall_ms()};
-    place_query_t input = {.objective = config->objective,
+    place_context_t context = {.config = config,
+                               .view = daemon->view,
+                               .cache = daemon->cache,
+                               .dc = daemon->settings.dc,
+                               .now_ms = time_mono_ms(),
+                               .wall_ms = time_wall_ms()};
+    place_query_t query = {.objective = config->objective,
                            .placement_count = __atomic_fetch_add(
                                &daemon->placement_count, 1, __ATOMIC_RELAXED)};
     static const prefix_t none = {0};
     for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
-        scene.excluded[i] = call->tried_names[i];
+        context.excluded[i] = call->tried_names[i];
     }
-    size_t count = list_candidates(call, &scene, candidates, version);
+    size_t count = list_candidates(call, &context, candidates, version);
     for (size_t i = 0; i < count; i++) {
         candidates[i].wait_ms += queue_wait_ms(daemon, candidates[i].id,
                                                candidates[i].prefill_rate);
     }
-    input.prefix = call->kind == CALL_CHAT ? &call->u.chat.prefix : &none;
+    query.prefix = call->kind == CALL_CHAT ? &call->u.chat.prefix : &none;
     if (count > 0) {
         const policy_t *policy = configured_policy(config);
-        *out = candidates[policy->choose(candidates, count, &input)];
+        *out = candidates[policy->choose(candidates, count, &query)];
         str_copy(call->backend, sizeof(call->backend), out->backend->name);
         str_copy(call->addr, sizeof(call->addr), out->backend->addr);
         str_copy(call->version, sizeof(call->version), version);
@@ -233,8 +234,8 @@
                 "no backend server takes this work now");
 }
 
-/* Send a call whose turn has come.  It is placed again, since its server may
- * have changed or another may have become the better choice. */
+/* Send a call that is next in its queue.  It is placed again, since its server
+ * may have changed or another may have become the better choice. */
 static void
 send_item(sched_item_t *item)
 {
@@ -343,7 +344,7 @@
 }
 
 /* Place the calls at the head of a queue again: another server may have become
- * idle, or their own may be gone. */
+ * idle, or their own may no longer be available. */
 static void
 place_first_calls_again(backend_queue_t *queue, int64_t now_ms)
 {
@@ -369,7 +370,7 @@
 }
 
 /* Reject calls whose deadline has passed, place the first of each queue again,
- * then send what can be sent. */
+ * then send calls to the servers that are not busy. */
 void
 dispatch_tick(celeryspoold_t *daemon)
 {
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -78,7 +78,7 @@
 }
 
 static void
-seal_token(call_t *call)
+sign_resume_token(call_t *call)
 {
     resume_t resume = {.prompt_hash = call->u.chat.prompt_hash};
     str_copy(resume.workspace, sizeof(resume.workspace), call->workspace);
@@ -92,7 +92,7 @@
 }
 
 /* Handle the first token of an attempt: report the time that it took to the
- * view, seal the resume token and open the caller's stream. */
+ * view, sign the resume token and open the caller's stream. */
 static void
 handle_first_token(call_t *call)
 {
@@ -105,7 +105,7 @@
         view_record_success(call->daemon->view, call->backend_id);
     }
     call->first_token_received = true;
-    seal_token(call);
+    sign_resume_token(call);
     if (call->phase != CALL_STREAMING) {
         call->phase = CALL_STREAMING;
         series_observe(call->series, METRIC_TTFT, now - call->received_us);
--- a/kernel/call.c
+++ b/kernel/call.c
@@ -151,8 +151,9 @@
     }
 }
 
-/* End an answered call: count it and take it off the list.  The call's lock
- * is held.  A second end is ignored, so each request is answered once. */
+/* End an answered call: count its outcome and take it off the list.  The
+ * call's lock is held.  A second end is ignored, so each request is answered
+ * once. */
 void
 call_end(call_t *call, outcome_t outcome)
 {
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -33,7 +33,7 @@
     daemon_state_t state;
     bool stopping;            /* the threads are to end */
     bool stop_requested;      /* a graceful shutdown has begun */
-    bool draining_for_window; /* used by the tick thread only */
+    bool draining_for_window; /* maintenance window; tick thread only */
     int64_t started_ms;
 
     pthread_mutex_t config_lock;
@@ -147,7 +147,7 @@
     /* The current attempt: one exchange with one backend server.  Callbacks
      * of an older attempt carry a smaller number and are ignored. */
     unsigned attempt_number;
-    uint64_t exchange_id;
+    uint64_t exchange_id;      /* for http_client_cancel */
     bool first_token_received; /* a new token arrived in this attempt */
     bool counted_in_view; /* this attempt is counted as load in the view */
     char placement_reason[200]; /* why the policy chose this server */
@@ -216,7 +216,7 @@
 bool config_sync_adopt(celeryspoold_t *daemon, json_t *doc, int64_t version,
                        const char *source);
 int config_sync_commit(celeryspoold_t *daemon, const change_t *change,
-                       const char *who, const char *what,
+                       const char *operator_name, const char *description,
                        int64_t if_generation, json_t **result, err_t *err);
 void *config_sync_run(void *arg);
 void *feed_run(void *arg);
@@ -234,7 +234,7 @@
                         const load_report_t *report);
 void peer_announce_cached(peer_t *peer, const char *backend, uint64_t key,
                           uint32_t tokens, bool held);
-json_t *peer_fetch(const char *addr, const char *what, int timeout_ms,
+json_t *peer_fetch(const char *addr, const char *document, int timeout_ms,
                    err_t *err);
 
 /* ---- thread pool for jobs that may block ---- */
--- a/kernel/exchange.c
+++ b/kernel/exchange.c
@@ -69,8 +69,8 @@
     struct event *timer;
     int64_t deadline_ms; /* 0 for none */
     bool sent;
-    bool in_hook;   /* a hook is running: the exchange must not be freed */
-    bool cancelled; /* within a hook, to be freed after it */
+    bool in_hook;   /* a hook is running: do not free the exchange */
+    bool cancelled; /* cancelled by a hook: free the exchange after it */
     bool head_seen; /* on_head was called for this response */
     bool skipping;  /* the owner rejected this response */
     int64_t keep_alive_ms;
@@ -138,7 +138,7 @@
     free(pool);
 }
 
-/* Running exchanges must be cancelled first. */
+/* Frees the pools.  Running exchanges must be cancelled first. */
 void
 exchanges_free(exchanges_t *exchanges)
 {
@@ -177,7 +177,7 @@
     }
 }
 
-/* Closes the idle connections to an address whose server is gone: the address
+/* Closes the idle connections to an address whose server has left: the address
  * may be reused by a server of another service. */
 void
 exchanges_close_idle(exchanges_t *exchanges, const char *addr)
--- a/kernel/exchange.h
+++ b/kernel/exchange.h
@@ -32,7 +32,7 @@
      * request.  If NULL, every response is accepted. */
     head_action_t (*on_head)(void *arg, const http_head_t *head);
     void (*on_body)(void *arg, const char *data, size_t len);
-    /* The last call; the exchange has been freed. */
+    /* The last callback; the exchange has been freed. */
     void (*on_end)(void *arg, exchange_end_t end);
     void *arg;
 } exchange_hooks_t;
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -11,7 +11,7 @@
 
 #define POLL_INTERVAL_MS 100
 #define EVENT_POLL_ROUNDS 2
-#define TIMEOUT_MS 1000
+#define POLL_TIMEOUT_MS 1000
 #define ANNOUNCE_WAITING_CHANGE_TOKENS 100
 #define ANNOUNCE_RUNNING_CHANGE 3
 #define ANNOUNCE_INTERVAL_MAX_MS 1000
@@ -33,7 +33,7 @@
 }
 
 /* Applies a load report, from the server itself or from a peer.  A changed
- * incarnation or weights version means that the server's cache is gone. */
+ * incarnation or weights version means that the server's cache is empty. */
 void
 feed_apply_load(celeryspoold_t *daemon, const char *backend,
                 const load_report_t *report)
@@ -117,8 +117,8 @@
 }
 
 /* Applies cache events in order.  Missing event numbers are not requested
- * again: a wrong entry costs one recomputation, and the usage in the answer
- * corrects it. */
+ * again: a wrong entry costs one recomputation, after which the server holds
+ * the prefix again. */
 static void
 apply_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
@@ -174,8 +174,8 @@
     (void)snprintf(url, sizeof(url), "http://%s%s", backend->addr, path);
     http_call_t call = {.method = "GET",
                         .url = url,
-                        .connect_ms = TIMEOUT_MS,
-                        .total_ms = TIMEOUT_MS,
+                        .connect_ms = POLL_TIMEOUT_MS,
+                        .total_ms = POLL_TIMEOUT_MS,
                         .on_data = on_data,
                         .on_end = on_end,
                         .arg = request};
--- a/kernel/http-client.c
+++ b/kernel/http-client.c
@@ -357,8 +357,8 @@
 }
 
 /* Starts an exchange and returns its id for http_client_cancel.  All callbacks
- * run on one worker's thread; on_end is the last, called exactly once.
- */
+ * run on one worker's thread; on_end is the last, called exactly
+ * once. */
 uint64_t
 http_client_start(http_client_t *client, const http_call_t *call)
 {
--- a/kernel/http-listener.c
+++ b/kernel/http-listener.c
@@ -44,7 +44,7 @@
     caller_state_t state;
     bool close_after;   /* close the connection after this response */
     bool body_too_long; /* the body exceeds its limit */
-    bool in_step; /* caller_step is running and must not be entered again */
+    bool in_step;       /* caller_step is running; prevents recursion */
     struct event *timer;
 };
 
@@ -220,8 +220,8 @@
     return state == READER_BODY && evbuffer_get_length(in) > 0;
 }
 
-/* Processes the buffered input.  A response that is made within the hook lets
- * the next request begin; this loop handles that, so there is no recursion. */
+/* Processes the buffered input.  If on_request responds before it returns, the
+ * next request can begin; this loop reads it, so there is no recursion. */
 static void
 caller_step(caller_t *caller)
 {
@@ -528,7 +528,7 @@
     caller->owner = owner;
 }
 
-/* Bytes in the output buffer that the socket has not taken yet. */
+/* Bytes in the output buffer that are not written to the socket yet. */
 size_t
 caller_unsent_bytes(const caller_t *caller)
 {
--- a/kernel/place.c
+++ b/kernel/place.c
@@ -86,10 +86,10 @@
            strcmp(state->load.version, version) == 0;
 }
 
-/* Lists the backend servers that can serve a model or service now: not
- * drained, in or shortly before a maintenance window, on a leaving host,
- * loading weights, behind an open circuit or excluded.  If a weights version
- * is given, a server that reported another one is left out. */
+/* Lists the backend servers that can serve a model or service now.  Left out
+ * are servers that are drained, in or shortly before a maintenance window, on
+ * a leaving host, loading weights, behind an open circuit breaker or excluded,
+ * and, if a weights version is given, those that reported another one. */
 size_t
 place_list_candidates(const place_context_t *context, const char *serves,
                       const prefix_t *prefix, const char *version,
@@ -131,7 +131,8 @@
     return count;
 }
 
-/* Estimates the time to prefill what a candidate has not cached, in ms. */
+/* Estimates the time to prefill the tokens that a candidate has not cached, in
+ * ms. */
 double
 place_prefill_ms(const candidate_t *candidate, const prefix_t *prefix)
 {
--- a/kernel/resume.c
+++ b/kernel/resume.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /* Resume tokens.  The state of a stream is kept by its caller: each event's id
- * is a sealed token and an offset, with which any daemon can resume the stream
- * if the one that served it fails. */
+ * is a token with a MAC and an offset, with which any daemon can resume the
+ * stream if the one that served it fails. */
 
 #define MAC_BYTES 16
 #define RAW_BYTES_MAX 400
@@ -38,8 +38,8 @@
     (void)sodium_bin2hex(out, CS_ID_LEN + 1, raw, sizeof(raw));
 }
 
-/* Seal the identity of a stream into a token, to which the caller of this
- * function appends ".OFFSET". */
+/* Encode the identity of a stream with its MAC as a token, to which the caller
+ * of this function appends ".OFFSET". */
 void
 resume_token_sign(const resume_t *resume, const unsigned char *secret,
                   char out[RESUME_TOKEN_MAX])
@@ -69,22 +69,22 @@
 static bool
 parse_token(resume_t *resume, char *text)
 {
-    char ask[17];
+    char prompt_hash[17];
     char *rest = text;
     if (!next_line(&rest, resume->workspace, sizeof(resume->workspace)) ||
         !next_line(&rest, resume->backend, sizeof(resume->backend)) ||
         !next_line(&rest, resume->incarnation, sizeof(resume->incarnation)) ||
         !next_line(&rest, resume->stream, sizeof(resume->stream)) ||
         !next_line(&rest, resume->version, sizeof(resume->version)) ||
-        !next_line(&rest, ask, sizeof(ask))) {
+        !next_line(&rest, prompt_hash, sizeof(prompt_hash))) {
         return false;
     }
-    resume->prompt_hash = strtoull(ask, NULL, 16);
+    resume->prompt_hash = strtoull(prompt_hash, NULL, 16);
     return true;
 }
 
-/* Open "TOKEN.OFFSET".  A token that was sealed with another key or has been
- * changed is an error. */
+/* Verify and decode "TOKEN.OFFSET".  A token that was signed with another
+ * secret or has been changed is an error. */
 int
 resume_token_verify(resume_t *resume, const unsigned char *secret,
                     const char *text, uint32_t *offset, err_t *err)
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -88,9 +88,9 @@
 static void
 handle_ready(celeryspoold_t *daemon, http_req_t *req)
 {
-    const char *why = not_ready_reason(daemon);
-    if (why != NULL) {
-        http_req_reply_error(req, 503, "not_ready", "%s", why);
+    const char *reason = not_ready_reason(daemon);
+    if (reason != NULL) {
+        http_req_reply_error(req, 503, "not_ready", "%s", reason);
         return;
     }
     http_req_reply(req, 200, "text/plain", "ready\n", 6);
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -20,7 +20,7 @@
 
 typedef struct cache_map cache_map_t;
 
-/* A backend server holds the prefix level with this key. */
+/* A prefix level and a backend server that holds it. */
 typedef struct {
     uint64_t key;
     uint32_t tokens;
@@ -44,7 +44,7 @@
                               uint16_t *out, size_t max);
 bool cache_map_has_key(cache_map_t *map, uint64_t key);
 size_t cache_map_size(cache_map_t *map);
-size_t cache_map_list_reused(cache_map_t *map, cached_level_t *facts,
+size_t cache_map_list_reused(cache_map_t *map, cached_level_t *levels,
                              size_t max);
 size_t cache_map_memory_bytes(cache_map_t *map);
 
@@ -168,7 +168,7 @@
     int share;               /* weight of the workspace */
     double cost;             /* tokens */
     int64_t deadline_ms;     /* monotonic */
-    int64_t placed_ms;       /* when its server was last chosen */
+    int64_t placed_ms;       /* when its server was last chosen; monotonic */
     bool first_of_workspace; /* its workspace had nothing queued at arrival */
     void *owner;
 } sched_item_t;
--- a/kernel/view.c
+++ b/kernel/view.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What this daemon knows of each backend server.  A load report is always
- * somewhat out of date, so it is corrected by what this daemon has sent since
- * it arrived. */
+/* The known state of each backend server.  A load report is always somewhat
+ * out of date, so it is corrected by the requests that this daemon has sent
+ * since it arrived. */
 
 #define CIRCUIT_FAILURES_MIN 3
 #define CIRCUIT_OPEN_MIN_MS 1000
@@ -53,7 +53,7 @@
 
 /* Returns the id of a backend server in the tables of this process, and
  * assigns one on first use.  Ids are never reused; when BACKENDS_MAX are
- * taken, all further names share the last one. */
+ * assigned, all further names share the last one. */
 uint16_t
 view_assign_id(view_t *view, const char *name)
 {
@@ -93,7 +93,7 @@
 
 /* Stores a load report.  Returns true if the incarnation or the weights
  * version differs from that of the previous report: the server's cache is then
- * gone. */
+ * empty. */
 bool
 view_apply_report(view_t *view, uint16_t id, const load_report_t *report,
                   int64_t now_ms)
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -79,7 +79,7 @@
 START_TEST(cache_map_stays_within_its_bound)
 {
     cache_map_t *map = cache_map_new(64);
-    cached_level_t facts[256];
+    cached_level_t levels[256];
     for (uint64_t i = 0; i < 1000; i++) {
         (void)cache_map_add_holder(map, (uint16_t)(i % 12), i, 16);
         (void)cache_map_add_holder(map, (uint16_t)(i % 12), i, 16);
@@ -87,7 +87,7 @@
     }
     ck_assert_uint_eq(cache_map_size(map), 64);
     ck_assert(cache_map_has_key(map, 7));
-    ck_assert_uint_ge(cache_map_list_reused(map, facts, 256), 64);
+    ck_assert_uint_ge(cache_map_list_reused(map, levels, 256), 64);
     cache_map_free(map);
 }
 END_TEST
@@ -212,7 +212,7 @@
 }
 END_TEST
 
-START_TEST(resume_token_opens_only_unmodified_with_same_secret)
+START_TEST(resume_token_is_valid_only_unmodified_with_same_secret)
 {
     unsigned char secret[32] = {1};
     unsigned char other_secret[32] = {2};
@@ -222,31 +222,32 @@
                        .stream = "s",
                        .version = "v1",
                        .prompt_hash = 77};
-    resume_t opened;
+    resume_t verified;
     uint32_t offset;
     err_t err;
     char token[RESUME_TOKEN_MAX];
     char id[RESUME_TOKEN_MAX + 16];
     resume_token_sign(&resume, secret, token);
     (void)snprintf(id, sizeof(id), "%s.12", token);
-    ck_assert_int_eq(resume_token_verify(&opened, secret, id, &offset, &err),
+    ck_assert_int_eq(resume_token_verify(&verified, secret, id, &offset, &err),
                      0);
-    ck_assert_str_eq(opened.backend, "engine-1");
+    ck_assert_str_eq(verified.backend, "engine-1");
     ck_assert_uint_eq(offset, 12);
-    ck_assert_uint_eq(opened.prompt_hash, 77);
+    ck_assert_uint_eq(verified.prompt_hash, 77);
     ck_assert_int_eq(
-        resume_token_verify(&opened, other_secret, id, &offset, &err), -1);
+        resume_token_verify(&verified, other_secret, id, &offset, &err), -1);
     for (size_t i = 0; i + 4 < strlen(id); i++) {
         char modified[RESUME_TOKEN_MAX + 16];
         str_copy(modified, sizeof(modified), id);
         modified[i] = modified[i] == 'A' ? 'B' : 'A';
         ck_assert_int_eq(
-            resume_token_verify(&opened, secret, modified, &offset, &err), -1);
+            resume_token_verify(&verified, secret, modified, &offset, &err),
+            -1);
     }
     ck_assert_int_eq(
-        resume_token_verify(&opened, secret, token, &offset, &err), -1);
-    ck_assert_int_eq(resume_token_verify(&opened, secret, ".", &offset, &err),
-                     -1);
+        resume_token_verify(&verified, secret, token, &offset, &err), -1);
+    ck_assert_int_eq(
+        resume_token_verify(&verified, secret, ".", &offset, &err), -1);
 }
 END_TEST
 
@@ -257,4 +258,4 @@
           failing_or_slow_server_is_rated_lower,
           cost_weighs_waiting_against_recomputing,
           choice_without_state_ignores_candidate_order,
-          resume_token_opens_only_unmodified_with_same_secret)
+          resume_token_is_valid_only_unmodified_with_same_secret)
