--- a/kernel/exchange.c
+++ b/kernel/exchange.c
@@ -32,22 +32,22 @@
 typedef struct addr_pool addr_pool_t;
 
 /* A connection to a server. */
-typedef struct upconn {
-    CK_LIST_ENTRY(upconn) entry;
+typedef struct conn {
+    CK_LIST_ENTRY(conn) entry;
     addr_pool_t *pool;
     struct bufferevent *bev;
     exchange_t *exchange; /* NULL while it is idle */
     int64_t expires_ms;
-} upconn_t;
+} conn_t;
 
-typedef CK_LIST_HEAD(upconn_list, upconn) upconn_list_t;
+typedef CK_LIST_HEAD(conn_list, conn) conn_list_t;
 
 /* The connections to one address; idle ones are listed most recent first. */
 struct addr_pool {
     CK_LIST_ENTRY(addr_pool) entry;
     exchanges_t *owner;
     char addr[CS_ADDR_MAX];
-    upconn_list_t idle;
+    conn_list_t idle;
     unsigned idle_count;
     unsigned busy_count;
 };
@@ -62,7 +62,7 @@
 
 struct exchange {
     exchanges_t *owner;
-    upconn_t *conn;
+    conn_t *conn;
     exchange_hooks_t hooks;
     http_reader_t reader;
     buf_t out; /* the request, until the connection is made */
@@ -113,7 +113,7 @@
 }
 
 static void
-conn_free(upconn_t *conn)
+conn_free(conn_t *conn)
 {
     if (conn->exchange == NULL) {
         CK_LIST_REMOVE(conn, entry);
@@ -129,8 +129,8 @@
 static void
 pool_free(addr_pool_t *pool)
 {
-    upconn_t *conn;
-    upconn_t *next;
+    conn_t *conn;
+    conn_t *next;
     CK_LIST_FOREACH_SAFE (conn, &pool->idle, entry, next) {
         conn_free(conn);
     }
@@ -164,8 +164,8 @@
     addr_pool_t *pool;
     addr_pool_t *next_pool;
     CK_LIST_FOREACH_SAFE (pool, &exchanges->pools, entry, next_pool) {
-        upconn_t *conn;
-        upconn_t *next;
+        conn_t *conn;
+        conn_t *next;
         CK_LIST_FOREACH_SAFE (conn, &pool->idle, entry, next) {
             if (now >= conn->expires_ms) {
                 conn_free(conn);
@@ -186,8 +186,8 @@
     if (pool == NULL) {
         return;
     }
-    upconn_t *conn;
-    upconn_t *next;
+    conn_t *conn;
+    conn_t *next;
     CK_LIST_FOREACH_SAFE (conn, &pool->idle, entry, next) {
         conn_free(conn);
     }
@@ -219,7 +219,7 @@
  * if the server keeps it open, the request was sent completely, there is no
  * input beyond the response, and not too many are idle. */
 static void
-conn_keep(upconn_t *conn)
+conn_keep(conn_t *conn)
 {
     exchange_t *exchange = conn->exchange;
     struct evbuffer *in = bufferevent_get_input(conn->bev);
@@ -289,7 +289,7 @@
 static void
 response_complete(exchange_t *exchange)
 {
-    upconn_t *conn = exchange->conn;
+    conn_t *conn = exchange->conn;
     conn_keep(conn);
     exchange->conn = NULL;
     exchange_end(exchange, EXCHANGE_COMPLETE);
@@ -333,7 +333,7 @@
 }
 
 static void
-read_input(upconn_t *conn)
+read_input(conn_t *conn)
 {
     struct evbuffer *in = bufferevent_get_input(conn->bev);
     exchange_t *exchange = conn->exchange;
@@ -344,7 +344,7 @@
 static void
 on_read(struct bufferevent *bev, void *arg)
 {
-    upconn_t *conn = arg;
+    conn_t *conn = arg;
     (void)bev;
     if (conn->exchange == NULL) {
         /* Input on an idle connection belongs to no request. */
@@ -395,7 +395,7 @@
 static void
 on_event(struct bufferevent *bev, short what, void *arg)
 {
-    upconn_t *conn = arg;
+    conn_t *conn = arg;
     exchange_t *exchange = conn->exchange;
     (void)bev;
     if ((what & BEV_EVENT_CONNECTED) != 0) {
@@ -458,7 +458,7 @@
                      sizeof(timeout_ms));
 }
 
-static upconn_t *
+static conn_t *
 conn_open(addr_pool_t *pool)
 {
     struct sockaddr_in to;
@@ -476,7 +476,7 @@
         (void)close(fd);
         return NULL;
     }
-    upconn_t *conn = mem_zalloc(sizeof(*conn));
+    conn_t *conn = mem_zalloc(sizeof(*conn));
     conn->pool = pool;
     conn->bev =
         bufferevent_socket_new(pool->owner->base, fd, BEV_OPT_CLOSE_ON_FREE);
@@ -488,11 +488,11 @@
     return conn;
 }
 
-static upconn_t *
+static conn_t *
 conn_take_idle(addr_pool_t *pool)
 {
     int64_t now = time_mono_ms();
-    upconn_t *conn;
+    conn_t *conn;
     while ((conn = CK_LIST_FIRST(&pool->idle)) != NULL) {
         if (now < conn->expires_ms) {
             CK_LIST_REMOVE(conn, entry);
@@ -523,7 +523,7 @@
     if (request->body_len > 0) {
         buf_add(&exchange->out, request->body, request->body_len);
     }
-    upconn_t *conn = request->new_connection ? NULL : conn_take_idle(pool);
+    conn_t *conn = request->new_connection ? NULL : conn_take_idle(pool);
     bool reused = conn != NULL;
     if (!reused) {
         conn = conn_open(pool);
