--- a/daemons/celeryspoolctl.c
+++ b/daemons/celeryspoolctl.c
@@ -90,12 +90,12 @@
     CLEAN_TEXT char *text = json_dumps(body, JSON_COMPACT);
     (void)snprintf(url, sizeof(url), "http://%s/admin/v1/command", args->addr);
     buf_fmt(&header, "Authorization: Bearer %s", args->key);
-    http_call_t call = {.method = "POST",
-                        .url = url,
-                        .body = text,
-                        .body_len = text == NULL ? 0 : strlen(text),
-                        .connect_ms = TIMEOUT_MS,
-                        .total_ms = TIMEOUT_MS};
+    http_client_request_t call = {.method = "POST",
+                                  .url = url,
+                                  .body = text,
+                                  .body_len = text == NULL ? 0 : strlen(text),
+                                  .connect_ms = TIMEOUT_MS,
+                                  .total_ms = TIMEOUT_MS};
     call.headers[0] = buf_text(&header);
     call.headers[1] = "Content-Type: application/json";
     if (text == NULL ||
--- a/fakes/load-blocks.c
+++ b/fakes/load-blocks.c
@@ -111,7 +111,7 @@
         CLEAN_BUF buf_t body = {0};
         int status;
         (void)snprintf(url, sizeof(url), "http://%s/truth", opts->engines[i]);
-        http_call_t call = {
+        http_client_request_t call = {
             .method = "GET", .url = url, .connect_ms = 1000, .total_ms = 2000};
         (void)http_fetch(&call, &status, &body);
         CLEAN_JSON json_t *truth =
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -336,16 +336,16 @@
     char idempotency[128];
     const load_opts_t *opts = &request->client->opts;
     const char *target = opts->targets[request->target % opts->target_count];
-    http_call_t call = {.method = "POST",
-                        .url = url,
-                        .body = request->body,
-                        .body_len = strlen(request->body),
-                        .connect_ms = CONNECT_MS,
-                        .total_ms = (int)opts->deadline_ms + 5000,
-                        .on_header = on_header,
-                        .on_data = on_data,
-                        .on_end = on_end,
-                        .arg = request};
+    http_client_request_t call = {.method = "POST",
+                                  .url = url,
+                                  .body = request->body,
+                                  .body_len = strlen(request->body),
+                                  .connect_ms = CONNECT_MS,
+                                  .total_ms = (int)opts->deadline_ms + 5000,
+                                  .on_header = on_header,
+                                  .on_data = on_data,
+                                  .on_end = on_end,
+                                  .arg = request};
     int header_count = 0;
     request->outcome[0] = '\0';
     buf_free(&request->response_body);
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -187,14 +187,14 @@
     probe->attempt_number = call->attempt_number;
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?status=1",
                    call->addr, call->stream_id);
-    http_call_t request = {.method = "GET",
-                           .url = url,
-                           .connect_ms = PROBE_TIMEOUT_MS,
-                           .total_ms = PROBE_TIMEOUT_MS,
-                           .new_connection = true,
-                           .on_data = probe_on_data,
-                           .on_end = probe_on_end,
-                           .arg = probe};
+    http_client_request_t request = {.method = "GET",
+                                     .url = url,
+                                     .connect_ms = PROBE_TIMEOUT_MS,
+                                     .total_ms = PROBE_TIMEOUT_MS,
+                                     .new_connection = true,
+                                     .on_data = probe_on_data,
+                                     .on_end = probe_on_end,
+                                     .arg = probe};
     (void)http_client_start(call->daemon->http_client, &request);
 }
 
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -180,7 +180,7 @@
     (void)snprintf(
         type, sizeof(type), "Content-Type: %s",
         service->content_type[0] == '\0' ? JSON_TYPE : service->content_type);
-    http_call_t request = {
+    http_client_request_t request = {
         .method = service->method,
         .url = buf_text(&url),
         .connect_ms = CONNECT_TIMEOUT_MS,
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -377,16 +377,17 @@
 attempt_send(call_t *call, attempt_t *attempt, const char *method,
              const char *url, const char *body)
 {
-    http_call_t request = {.method = method,
-                           .url = url,
-                           .body = body,
-                           .body_len = body == NULL ? 0 : strlen(body),
-                           .connect_ms = CONNECT_TIMEOUT_MS,
-                           .new_connection = attempt->resume,
-                           .on_header = on_header,
-                           .on_data = on_data,
-                           .on_end = on_end,
-                           .arg = attempt};
+    http_client_request_t request = {
+        .method = method,
+        .url = url,
+        .body = body,
+        .body_len = body == NULL ? 0 : strlen(body),
+        .connect_ms = CONNECT_TIMEOUT_MS,
+        .new_connection = attempt->resume,
+        .on_header = on_header,
+        .on_data = on_data,
+        .on_end = on_end,
+        .arg = attempt};
     request.headers[0] = "Content-Type: application/json";
     request.headers[1] = "Accept: text/event-stream";
     call->exchange_id = http_client_start(call->daemon->http_client, &request);
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -172,13 +172,13 @@
     request->events = events;
     str_copy(request->backend, sizeof(request->backend), backend->name);
     (void)snprintf(url, sizeof(url), "http://%s%s", backend->addr, path);
-    http_call_t call = {.method = "GET",
-                        .url = url,
-                        .connect_ms = POLL_TIMEOUT_MS,
-                        .total_ms = POLL_TIMEOUT_MS,
-                        .on_data = on_data,
-                        .on_end = on_end,
-                        .arg = request};
+    http_client_request_t call = {.method = "GET",
+                                  .url = url,
+                                  .connect_ms = POLL_TIMEOUT_MS,
+                                  .total_ms = POLL_TIMEOUT_MS,
+                                  .on_data = on_data,
+                                  .on_end = on_end,
+                                  .arg = request};
     (void)http_client_start(daemon->http_client, &call);
 }
 
--- a/kernel/http-client.c
+++ b/kernel/http-client.c
@@ -26,7 +26,7 @@
     CK_STAILQ_ENTRY(xfer) inbox;
     CK_LIST_ENTRY(xfer) running;
     uint64_t id;
-    http_call_t call;
+    http_client_request_t call;
     char addr[CS_ADDR_MAX];
     buf_t head;
     char *body;
@@ -61,10 +61,10 @@
 /* ---- one exchange ---- */
 
 static bool
-has_header(const http_call_t *call, const char *name)
+has_header(const http_client_request_t *call, const char *name)
 {
     size_t len = strlen(name);
-    for (int i = 0; i < HTTP_CALL_HEADERS_MAX && call->headers[i] != NULL;
+    for (int i = 0; i < HTTP_CLIENT_HEADERS_MAX && call->headers[i] != NULL;
          i++) {
         if (strncasecmp(call->headers[i], name, len) == 0 &&
             call->headers[i][len] == ':') {
@@ -78,7 +78,7 @@
 static void
 xfer_write_head(xfer_t *xfer)
 {
-    const http_call_t *call = &xfer->call;
+    const http_client_request_t *call = &xfer->call;
     const char *host = call->url;
     if (strncmp(host, URL_SCHEME, strlen(URL_SCHEME)) == 0) {
         host += strlen(URL_SCHEME);
@@ -90,7 +90,7 @@
     }
     buf_fmt(&xfer->head, "%s %s%s HTTP/1.1\r\nHost: %s\r\n", call->method,
             target[0] == '/' ? "" : "/", target, xfer->addr);
-    for (int i = 0; i < HTTP_CALL_HEADERS_MAX && call->headers[i] != NULL;
+    for (int i = 0; i < HTTP_CLIENT_HEADERS_MAX && call->headers[i] != NULL;
          i++) {
         buf_fmt(&xfer->head, "%s\r\n", call->headers[i]);
     }
@@ -104,7 +104,7 @@
 }
 
 static xfer_t *
-xfer_new(const http_call_t *call, uint64_t id)
+xfer_new(const http_client_request_t *call, uint64_t id)
 {
     xfer_t *xfer = mem_zalloc(sizeof(*xfer));
     xfer->id = id;
@@ -198,7 +198,7 @@
 static void
 xfer_start(xfer_t *xfer, exchanges_t *exchanges)
 {
-    const http_call_t *call = &xfer->call;
+    const http_client_request_t *call = &xfer->call;
     exchange_hooks_t hooks = {on_head, on_body, on_end, xfer};
     exchange_request_t request = {
         .addr = xfer->addr,
@@ -360,7 +360,7 @@
  * run on one worker's thread; on_end is the last, called exactly
  * once. */
 uint64_t
-http_client_start(http_client_t *client, const http_call_t *call)
+http_client_start(http_client_t *client, const http_client_request_t *call)
 {
     (void)pthread_mutex_lock(&client->lock);
     uint64_t id = ++client->last_id;
@@ -396,9 +396,9 @@
 /* Runs one exchange in the calling thread, for start-up, command-line tools
  * and threads that may block. */
 http_end_t
-http_fetch(const http_call_t *call, int *status, buf_t *reply)
+http_fetch(const http_client_request_t *call, int *status, buf_t *reply)
 {
-    http_call_t copy = *call;
+    http_client_request_t copy = *call;
     copy.on_header = NULL;
     copy.on_data = fetch_on_data;
     copy.arg = reply;
--- a/kernel/http.h
+++ b/kernel/http.h
@@ -65,13 +65,13 @@
     HTTP_END_CANCELLED, /* by http_client_cancel */
 } http_end_t;
 
-#define HTTP_CALL_HEADERS_MAX 12
+#define HTTP_CLIENT_HEADERS_MAX 12
 
 typedef struct {
     const char *method;
     const char *url;
     /* Lines "Name: value"; NULL ends them if there are fewer. */
-    const char *headers[HTTP_CALL_HEADERS_MAX];
+    const char *headers[HTTP_CLIENT_HEADERS_MAX];
     const char *body; /* copied */
     size_t body_len;
     int connect_ms;
@@ -81,14 +81,16 @@
     void (*on_data)(void *arg, int status, const char *data, size_t len);
     void (*on_end)(void *arg, http_end_t end, int status);
     void *arg;
-} http_call_t;
+} http_client_request_t;
 
 http_client_t *http_client_new(unsigned threads);
 void http_client_free(http_client_t *client);
-uint64_t http_client_start(http_client_t *client, const http_call_t *call);
+uint64_t http_client_start(http_client_t *client,
+                           const http_client_request_t *call);
 void http_client_cancel(http_client_t *client, uint64_t id);
 
 /* Runs one exchange and blocks until it ends; appends the body to reply. */
-http_end_t http_fetch(const http_call_t *call, int *status, buf_t *reply);
+http_end_t http_fetch(const http_client_request_t *call, int *status,
+                      buf_t *reply);
 
 #endif
--- a/kernel/store.c
+++ b/kernel/store.c
@@ -123,18 +123,19 @@
     (void)snprintf(out, URL_MAX, "http://%s/v1/objects/%s", store->addr, name);
 }
 
-static http_call_t
+static http_client_request_t
 make_call(store_t *store, const char *method, const char *url)
 {
     ck_pr_inc_64(&store->calls);
-    return (http_call_t){.method = method,
-                         .url = url,
-                         .connect_ms = CONNECT_TIMEOUT_MS,
-                         .total_ms = store->timeout_ms};
+    return (http_client_request_t){.method = method,
+                                   .url = url,
+                                   .connect_ms = CONNECT_TIMEOUT_MS,
+                                   .total_ms = store->timeout_ms};
 }
 
 static void
-start_call(store_t *store, http_call_t *call, store_callback_t done, void *arg)
+start_call(store_t *store, http_client_request_t *call, store_callback_t done,
+           void *arg)
 {
     pending_call_t *pending = mem_zalloc(sizeof(*pending));
     pending->done = done;
@@ -151,13 +152,13 @@
 {
     char url[URL_MAX];
     format_url(store, name, url);
-    http_call_t call = make_call(store, "GET", url);
+    http_client_request_t call = make_call(store, "GET", url);
     start_call(store, &call, done, arg);
 }
 
 static void
-set_put_options(http_call_t *call, char if_match[48], const char *text,
-                int64_t version)
+set_put_options(http_client_request_t *call, char if_match[48],
+                const char *text, int64_t version)
 {
     (void)snprintf(if_match, 48, "If-Match: %lld", (long long)version);
     call->headers[0] = if_match;
@@ -176,14 +177,15 @@
     char if_match[48];
     CLEAN_TEXT char *text = json_dumps(value, JSON_COMPACT);
     format_url(store, name, url);
-    http_call_t call = make_call(store, "PUT", url);
+    http_client_request_t call = make_call(store, "PUT", url);
     set_put_options(&call, if_match, text, version);
     call.new_connection = true;
     start_call(store, &call, done, arg);
 }
 
 static store_result_t
-fetch_object(const http_call_t *call, int64_t *version, json_t **value)
+fetch_object(const http_client_request_t *call, int64_t *version,
+             json_t **value)
 {
     CLEAN_BUF buf_t body = {0};
     CLEAN_JSON json_t *owned = NULL;
@@ -206,7 +208,7 @@
 {
     char url[URL_MAX];
     format_url(store, name, url);
-    http_call_t call = make_call(store, "GET", url);
+    http_client_request_t call = make_call(store, "GET", url);
     return fetch_object(&call, version, value);
 }
 
@@ -221,7 +223,7 @@
     (void)snprintf(url, sizeof(url),
                    "http://%s/v1/objects/%s?after=%lld&timeout_ms=%d",
                    store->addr, name, (long long)after, wait_ms);
-    http_call_t call = make_call(store, "GET", url);
+    http_client_request_t call = make_call(store, "GET", url);
     call.total_ms = wait_ms + store->timeout_ms;
     return fetch_object(&call, version, value);
 }
@@ -236,7 +238,7 @@
     char if_match[48];
     CLEAN_TEXT char *text = json_dumps(value, JSON_COMPACT);
     format_url(store, name, url);
-    http_call_t call = make_call(store, "PUT", url);
+    http_client_request_t call = make_call(store, "PUT", url);
     set_put_options(&call, if_match, text, expected);
     return fetch_object(&call, version, NULL);
 }
@@ -249,7 +251,7 @@
     CLEAN_BUF buf_t body = {0};
     int status = 0;
     (void)snprintf(url, sizeof(url), "http://%s/v1/hosts", store->addr);
-    http_call_t call = make_call(store, "GET", url);
+    http_client_request_t call = make_call(store, "GET", url);
     if (http_fetch(&call, &status, &body) != HTTP_END_COMPLETE ||
         status != 200) {
         return NULL;
--- a/tests/test-http-edges.c
+++ b/tests/test-http-edges.c
@@ -172,13 +172,13 @@
     http_server_t *server = start(2);
     CLEAN_BUF buf_t reply = {0};
     int status;
-    http_call_t call = {.method = "POST",
-                        .url = url("/ab%20c/d?word=x%2By+z&q=1"),
-                        .headers = {"X-Agent: me"},
-                        .body = "hello",
-                        .body_len = 5,
-                        .connect_ms = 1000,
-                        .total_ms = 2000};
+    http_client_request_t call = {.method = "POST",
+                                  .url = url("/ab%20c/d?word=x%2By+z&q=1"),
+                                  .headers = {"X-Agent: me"},
+                                  .body = "hello",
+                                  .body_len = 5,
+                                  .connect_ms = 1000,
+                                  .total_ms = 2000};
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_COMPLETE);
     ck_assert_int_eq(status, 200);
     ck_assert_str_eq(buf_text(&reply),
@@ -227,10 +227,10 @@
     http_server_t *server = start(2);
     CLEAN_BUF buf_t reply = {0};
     int status;
-    http_call_t call = {.method = "GET",
-                        .url = url("/cut"),
-                        .connect_ms = 500,
-                        .total_ms = 300};
+    http_client_request_t call = {.method = "GET",
+                                  .url = url("/cut"),
+                                  .connect_ms = 500,
+                                  .total_ms = 300};
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_BROKEN);
     call.url = url("/broken");
     ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_BROKEN);
@@ -317,12 +317,12 @@
     http_server_t *server = start(2);
     http_client_t *client = http_client_new(2);
     outcome_t outcome = {0};
-    http_call_t call = {.method = "GET",
-                        .url = url("/later"),
-                        .connect_ms = 1000,
-                        .on_data = on_data,
-                        .on_end = on_end,
-                        .arg = &outcome};
+    http_client_request_t call = {.method = "GET",
+                                  .url = url("/later"),
+                                  .connect_ms = 1000,
+                                  .on_data = on_data,
+                                  .on_end = on_end,
+                                  .arg = &outcome};
     uint64_t id = http_client_start(client, &call);
     http_req_unref(wait_held_req());
     http_client_cancel(client, id);
