--- a/kernel/cache-map.c
+++ b/kernel/cache-map.c
@@ -157,10 +157,10 @@
     return cache_map_add_holder_at(map, backend, key, tokens, 0);
 }
 
-/* The same with the time: servers evict what is unused for long, so a lookup
- * can require holders confirmed since a given time.  Also returns true if the
- * last confirmation was HOLDER_REFRESH_MS ago or more, so that peers are
- * notified again. */
+/* The same with the time of the confirmation: servers evict prefixes that have
+ * not been used for long, so a lookup can require holders confirmed since a
+ * given time.  Also returns true if the last confirmation was
+ * HOLDER_REFRESH_MS ago or more, so that peers are notified again. */
 bool
 cache_map_add_holder_at(cache_map_t *map, uint16_t backend, uint64_t key,
                         uint32_t tokens, int64_t now_ms)
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -16,20 +16,20 @@
 #define ANNOUNCE_RUNNING_CHANGE 3
 #define ANNOUNCE_INTERVAL_MAX_MS 1000
 
-/* One HTTP request to a backend server; freed when it ends. */
+/* A poll of a backend server; freed when its request ends. */
 typedef struct {
     celeryspoold_t *daemon;
     char backend[CS_NAME_MAX];
     bool events;
     buf_t body;
-} poll_request_t;
+} poll_t;
 
 static void
 on_data(void *arg, int status, const char *data, size_t len)
 {
     (void)status;
-    poll_request_t *request = arg;
-    buf_add(&request->body, data, len);
+    poll_t *poll = arg;
+    buf_add(&poll->body, data, len);
 }
 
 /* Applies a load report, from the server itself or from a peer.  A changed
@@ -146,20 +146,20 @@
 static void
 on_end(void *arg, http_end_t end, int status)
 {
-    poll_request_t *request = arg;
+    poll_t *poll = arg;
     if (end == HTTP_END_COMPLETE && status == 200) {
         CLEAN_JSON json_t *body =
-            json_loadb(buf_text(&request->body), request->body.len, 0, NULL);
-        if (request->events) {
-            apply_events(request->daemon, request->backend, body);
+            json_loadb(buf_text(&poll->body), poll->body.len, 0, NULL);
+        if (poll->events) {
+            apply_events(poll->daemon, poll->backend, body);
         }
         else {
-            process_load(request->daemon, request->backend, body);
-            dispatch_run(request->daemon);
+            process_load(poll->daemon, poll->backend, body);
+            dispatch_run(poll->daemon);
         }
     }
-    buf_free(&request->body);
-    free(request);
+    buf_free(&poll->body);
+    free(poll);
 }
 
 static void
@@ -167,19 +167,19 @@
           bool events)
 {
     char url[CS_ADDR_MAX + 96];
-    poll_request_t *request = mem_zalloc(sizeof(*request));
-    request->daemon = daemon;
-    request->events = events;
-    str_copy(request->backend, sizeof(request->backend), backend->name);
+    poll_t *poll = mem_zalloc(sizeof(*poll));
+    poll->daemon = daemon;
+    poll->events = events;
+    str_copy(poll->backend, sizeof(poll->backend), backend->name);
     (void)snprintf(url, sizeof(url), "http://%s%s", backend->addr, path);
-    http_client_request_t call = {.method = "GET",
-                                  .url = url,
-                                  .connect_ms = POLL_TIMEOUT_MS,
-                                  .total_ms = POLL_TIMEOUT_MS,
-                                  .on_data = on_data,
-                                  .on_end = on_end,
-                                  .arg = request};
-    (void)http_client_start(daemon->http_client, &call);
+    http_client_request_t request = {.method = "GET",
+                                     .url = url,
+                                     .connect_ms = POLL_TIMEOUT_MS,
+                                     .total_ms = POLL_TIMEOUT_MS,
+                                     .on_data = on_data,
+                                     .on_end = on_end,
+                                     .arg = poll};
+    (void)http_client_start(daemon->http_client, &request);
 }
 
 static void
--- a/kernel/http-client.c
+++ b/kernel/http-client.c
@@ -14,19 +14,19 @@
 #define XFER_SLOTS 1024
 /* Interval at which expired idle connections are closed. */
 #define SWEEP_INTERVAL_MS 500
-/* Used for a call that sets no connect timeout. */
+/* Used for a request that sets no connect timeout. */
 #define CONNECT_MS_DEFAULT 5000
 #define URL_SCHEME "http://"
 
 typedef struct worker worker_t;
 
-/* An exchange with its callbacks.  Owned by the worker's thread from when the
- * worker takes it off the inbox until on_end has returned. */
+/* An exchange with its callbacks.  After the worker has taken it off the
+ * inbox, only the worker's thread accesses it. */
 typedef struct xfer {
     CK_STAILQ_ENTRY(xfer) inbox;
     CK_LIST_ENTRY(xfer) running;
     uint64_t id;
-    http_client_request_t call;
+    http_client_request_t request;
     char addr[CS_ADDR_MAX];
     buf_t head;
     char *body;
@@ -61,13 +61,13 @@
 /* ---- one exchange ---- */
 
 static bool
-has_header(const http_client_request_t *call, const char *name)
+has_header(const http_client_request_t *request, const char *name)
 {
     size_t len = strlen(name);
-    for (int i = 0; i < HTTP_CLIENT_HEADERS_MAX && call->headers[i] != NULL;
+    for (int i = 0; i < HTTP_CLIENT_HEADERS_MAX && request->headers[i] != NULL;
          i++) {
-        if (strncasecmp(call->headers[i], name, len) == 0 &&
-            call->headers[i][len] == ':') {
+        if (strncasecmp(request->headers[i], name, len) == 0 &&
+            request->headers[i][len] == ':') {
             return true;
         }
     }
@@ -78,8 +78,8 @@
 static void
 xfer_write_head(xfer_t *xfer)
 {
-    const http_client_request_t *call = &xfer->call;
-    const char *host = call->url;
+    const http_client_request_t *request = &xfer->request;
+    const char *host = request->url;
     if (strncmp(host, URL_SCHEME, strlen(URL_SCHEME)) == 0) {
         host += strlen(URL_SCHEME);
     }
@@ -88,31 +88,31 @@
     if (len < sizeof(xfer->addr)) {
         memcpy(xfer->addr, host, len);
     }
-    buf_fmt(&xfer->head, "%s %s%s HTTP/1.1\r\nHost: %s\r\n", call->method,
+    buf_fmt(&xfer->head, "%s %s%s HTTP/1.1\r\nHost: %s\r\n", request->method,
             target[0] == '/' ? "" : "/", target, xfer->addr);
-    for (int i = 0; i < HTTP_CLIENT_HEADERS_MAX && call->headers[i] != NULL;
+    for (int i = 0; i < HTTP_CLIENT_HEADERS_MAX && request->headers[i] != NULL;
          i++) {
-        buf_fmt(&xfer->head, "%s\r\n", call->headers[i]);
+        buf_fmt(&xfer->head, "%s\r\n", request->headers[i]);
     }
-    if (call->body != NULL || strcmp(call->method, "GET") != 0) {
-        buf_fmt(&xfer->head, "Content-Length: %zu\r\n", call->body_len);
+    if (request->body != NULL || strcmp(request->method, "GET") != 0) {
+        buf_fmt(&xfer->head, "Content-Length: %zu\r\n", request->body_len);
     }
-    if (call->body != NULL && !has_header(call, "Content-Type")) {
+    if (request->body != NULL && !has_header(request, "Content-Type")) {
         buf_str(&xfer->head, "Content-Type: application/json\r\n");
     }
     buf_str(&xfer->head, "\r\n");
 }
 
 static xfer_t *
-xfer_new(const http_client_request_t *call, uint64_t id)
+xfer_new(const http_client_request_t *request, uint64_t id)
 {
     xfer_t *xfer = mem_zalloc(sizeof(*xfer));
     xfer->id = id;
-    xfer->call = *call;
+    xfer->request = *request;
     xfer_write_head(xfer);
-    if (call->body != NULL) {
-        xfer->body = mem_zalloc(call->body_len + 1);
-        memcpy(xfer->body, call->body, call->body_len);
+    if (request->body != NULL) {
+        xfer->body = mem_zalloc(request->body_len + 1);
+        memcpy(xfer->body, request->body, request->body_len);
     }
     return xfer;
 }
@@ -133,7 +133,7 @@
     char value[512];
     http_head_copy(head, header->name, name, sizeof(name));
     http_head_copy(head, header->value, value, sizeof(value));
-    xfer->call.on_header(xfer->call.arg, name, value);
+    xfer->request.on_header(xfer->request.arg, name, value);
 }
 
 static head_action_t
@@ -141,7 +141,7 @@
 {
     xfer_t *xfer = arg;
     xfer->status = head->status;
-    for (unsigned i = 0; xfer->call.on_header != NULL && i < head->count;
+    for (unsigned i = 0; xfer->request.on_header != NULL && i < head->count;
          i++) {
         pass_header(xfer, head, &head->headers[i]);
     }
@@ -152,8 +152,8 @@
 on_body(void *arg, const char *data, size_t len)
 {
     xfer_t *xfer = arg;
-    if (xfer->call.on_data != NULL) {
-        xfer->call.on_data(xfer->call.arg, xfer->status, data, len);
+    if (xfer->request.on_data != NULL) {
+        xfer->request.on_data(xfer->request.arg, xfer->status, data, len);
     }
 }
 
@@ -166,8 +166,8 @@
         return; /* http_fetch polls done */
     }
     CK_LIST_REMOVE(xfer, running);
-    if (xfer->call.on_end != NULL) {
-        xfer->call.on_end(xfer->call.arg, end, xfer->status);
+    if (xfer->request.on_end != NULL) {
+        xfer->request.on_end(xfer->request.arg, end, xfer->status);
     }
     xfer_free(xfer);
 }
@@ -198,20 +198,20 @@
 static void
 xfer_start(xfer_t *xfer, exchanges_t *exchanges)
 {
-    const http_client_request_t *call = &xfer->call;
+    const http_client_request_t *request = &xfer->request;
     exchange_hooks_t hooks = {on_head, on_body, on_end, xfer};
-    exchange_request_t request = {
+    exchange_request_t exchange_request = {
         .addr = xfer->addr,
         .head = xfer->head.data,
         .head_len = xfer->head.len,
         .body = xfer->body,
-        .body_len = call->body_len,
-        .no_response_body = strcmp(call->method, "HEAD") == 0,
-        .new_connection = call->new_connection,
+        .body_len = request->body_len,
+        .no_response_body = strcmp(request->method, "HEAD") == 0,
+        .new_connection = request->new_connection,
         .connect_ms =
-            call->connect_ms > 0 ? call->connect_ms : CONNECT_MS_DEFAULT,
-        .total_ms = call->total_ms};
-    xfer->exchange = exchange_start(exchanges, &request, &hooks);
+            request->connect_ms > 0 ? request->connect_ms : CONNECT_MS_DEFAULT,
+        .total_ms = request->total_ms};
+    xfer->exchange = exchange_start(exchanges, &exchange_request, &hooks);
 }
 
 /* ---- on the worker's thread ---- */
@@ -360,12 +360,12 @@
  * run on one worker's thread; on_end is the last, called exactly
  * once. */
 uint64_t
-http_client_start(http_client_t *client, const http_client_request_t *call)
+http_client_start(http_client_t *client, const http_client_request_t *request)
 {
     (void)pthread_mutex_lock(&client->lock);
     uint64_t id = ++client->last_id;
     (void)pthread_mutex_unlock(&client->lock);
-    xfer_t *xfer = xfer_new(call, id);
+    xfer_t *xfer = xfer_new(request, id);
     worker_t *worker = &client->workers[id % client->threads];
     xfer->worker = worker;
     (void)pthread_mutex_lock(&worker->lock);
@@ -396,9 +396,9 @@
 /* Runs one exchange in the calling thread, for start-up, command-line tools
  * and threads that may block. */
 http_end_t
-http_fetch(const http_client_request_t *call, int *status, buf_t *reply)
+http_fetch(const http_client_request_t *request, int *status, buf_t *reply)
 {
-    http_client_request_t copy = *call;
+    http_client_request_t copy = *request;
     copy.on_header = NULL;
     copy.on_data = fetch_on_data;
     copy.arg = reply;
--- a/kernel/http-listener.c
+++ b/kernel/http-listener.c
@@ -24,7 +24,7 @@
  * caller could lose the response. */
 #define LINGER_MS 1000
 /* A connection whose output makes no progress for this long is closed: twice
- * the longest deadline that callers set. */
+ * the longest deadline that callers are expected to set. */
 #define WRITE_TIMEOUT_S 30
 
 typedef enum {
--- a/kernel/http.h
+++ b/kernel/http.h
@@ -86,11 +86,11 @@
 http_client_t *http_client_new(unsigned threads);
 void http_client_free(http_client_t *client);
 uint64_t http_client_start(http_client_t *client,
-                           const http_client_request_t *call);
+                           const http_client_request_t *request);
 void http_client_cancel(http_client_t *client, uint64_t id);
 
 /* Runs one exchange and blocks until it ends; appends the body to reply. */
-http_end_t http_fetch(const http_client_request_t *call, int *status,
+http_end_t http_fetch(const http_client_request_t *request, int *status,
                       buf_t *reply);
 
 #endif
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -104,14 +104,14 @@
                   "issuer", daemon->settings.name);
     CLEAN_TEXT char *text = json_dumps(order, JSON_COMPACT);
     (void)snprintf(url, sizeof(url), "http://%s/orders", backend->addr);
-    http_client_request_t call = {.method = "POST",
-                                  .url = url,
-                                  .body = text,
-                                  .body_len = strlen(text),
-                                  .connect_ms = ORDER_TIMEOUT_MS,
-                                  .total_ms = ORDER_TIMEOUT_MS,
-                                  .new_connection = true};
-    http_end_t end = http_fetch(&call, &status, &reply);
+    http_client_request_t request = {.method = "POST",
+                                     .url = url,
+                                     .body = text,
+                                     .body_len = strlen(text),
+                                     .connect_ms = ORDER_TIMEOUT_MS,
+                                     .total_ms = ORDER_TIMEOUT_MS,
+                                     .new_connection = true};
+    http_end_t end = http_fetch(&request, &status, &reply);
     event_emit(&(event_t){
         .kind = "order", .backend = backend->name, .detail = model->version});
     log_info("order", "Ordered %s to load %s: %s %d.", backend->name,
--- a/kernel/tables.h
+++ b/kernel/tables.h
@@ -116,7 +116,7 @@
     uint16_t id;
     char incarnation[CS_ID_LEN + 1];
     char version[CS_NAME_MAX];
-    double wait_ms;
+    double wait_ms;      /* expected, before its prefill starts */
     double prefill_rate; /* tokens per second */
     int running;
     uint32_t cached_tokens;     /* prompt tokens believed to be in its cache */
@@ -266,6 +266,8 @@
     size_t count;
 } member_outbox_t;
 
+/* A duty is a named task that one live member, or the few that rank highest in
+ * rendezvous hashing of its name, performs for all. */
 typedef struct members members_t;
 
 members_t *members_new(const member_t *self, uint64_t seed);
--- a/plugins/policy-first-level.c
+++ b/plugins/policy-first-level.c
@@ -18,9 +18,10 @@
     return best;
 }
 
-static policy_t policy = {.name = "first-level",
-                          .about = "rendezvous home of the first level",
-                          .choose = choose};
+static policy_t policy = {
+    .name = "first-level",
+    .about = "the highest rendezvous weight for the first level",
+    .choose = choose};
 
 __attribute__((constructor)) static void
 policy_first_level_register(void)
--- a/tests/test-http-edges.c
+++ b/tests/test-http-edges.c
@@ -172,14 +172,14 @@
     http_server_t *server = start(2);
     CLEAN_BUF buf_t reply = {0};
     int status;
-    http_client_request_t call = {.method = "POST",
-                                  .url = url("/ab%20c/d?word=x%2By+z&q=1"),
-                                  .headers = {"X-Agent: me"},
-                                  .body = "hello",
-                                  .body_len = 5,
-                                  .connect_ms = 1000,
-                                  .total_ms = 2000};
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_COMPLETE);
+    http_client_request_t request = {.method = "POST",
+                                     .url = url("/ab%20c/d?word=x%2By+z&q=1"),
+                                     .headers = {"X-Agent: me"},
+                                     .body = "hello",
+                                     .body_len = 5,
+                                     .connect_ms = 1000,
+                                     .total_ms = 2000};
+    ck_assert_int_eq(http_fetch(&request, &status, &reply), HTTP_END_COMPLETE);
     ck_assert_int_eq(status, 200);
     ck_assert_str_eq(buf_text(&reply),
                      "POST|/ab c/d|x+y z|me|hello|%20c/d?word=x%2By+z&q=1");
@@ -220,27 +220,26 @@
 END_TEST
 
 /* A client must be able to distinguish a truncated response from a complete
- * one, and an unsent request from one that may have been executed.
- */
+ * one, and an unsent request from one that may have been executed. */
 START_TEST(ends_are_distinguished)
 {
     http_server_t *server = start(2);
     CLEAN_BUF buf_t reply = {0};
     int status;
-    http_client_request_t call = {.method = "GET",
-                                  .url = url("/cut"),
-                                  .connect_ms = 500,
-                                  .total_ms = 300};
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_BROKEN);
-    call.url = url("/broken");
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_BROKEN);
+    http_client_request_t request = {.method = "GET",
+                                     .url = url("/cut"),
+                                     .connect_ms = 500,
+                                     .total_ms = 300};
+    ck_assert_int_eq(http_fetch(&request, &status, &reply), HTTP_END_BROKEN);
+    request.url = url("/broken");
+    ck_assert_int_eq(http_fetch(&request, &status, &reply), HTTP_END_BROKEN);
     ck_assert_int_eq(status, 200);
     ck_assert_str_eq(buf_text(&reply), "half");
-    call.url = url("/later");
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_TIMEOUT);
+    request.url = url("/later");
+    ck_assert_int_eq(http_fetch(&request, &status, &reply), HTTP_END_TIMEOUT);
     http_req_unref(wait_held_req());
-    call.url = "http://127.0.0.1:1/nobody";
-    ck_assert_int_eq(http_fetch(&call, &status, &reply), HTTP_END_UNSENT);
+    request.url = "http://127.0.0.1:1/nobody";
+    ck_assert_int_eq(http_fetch(&request, &status, &reply), HTTP_END_UNSENT);
     http_server_stop(server);
 }
 END_TEST
@@ -317,21 +316,21 @@
     http_server_t *server = start(2);
     http_client_t *client = http_client_new(2);
     outcome_t outcome = {0};
-    http_client_request_t call = {.method = "GET",
-                                  .url = url("/later"),
-                                  .connect_ms = 1000,
-                                  .on_data = on_data,
-                                  .on_end = on_end,
-                                  .arg = &outcome};
-    uint64_t id = http_client_start(client, &call);
+    http_client_request_t request = {.method = "GET",
+                                     .url = url("/later"),
+                                     .connect_ms = 1000,
+                                     .on_data = on_data,
+                                     .on_end = on_end,
+                                     .arg = &outcome};
+    uint64_t id = http_client_start(client, &request);
     http_req_unref(wait_held_req());
     http_client_cancel(client, id);
     http_client_cancel(client, id);
     wait_ends(&outcome, 1);
     ck_assert_uint_eq(outcome.cancelled, 1);
-    call.url = url("/stream");
+    request.url = url("/stream");
     held_req = NULL;
-    (void)http_client_start(client, &call);
+    (void)http_client_start(client, &request);
     http_req_t *req = wait_held_req();
     http_req_stream(req, 200, "text/plain");
     http_req_write(req, "a", 1);
@@ -342,8 +341,8 @@
     ck_assert_uint_eq(outcome.complete, 1);
     ck_assert_str_eq(buf_text(&outcome.body), "ab");
     held_req = NULL;
-    call.url = url("/later");
-    (void)http_client_start(client, &call);
+    request.url = url("/later");
+    (void)http_client_start(client, &request);
     http_req_unref(wait_held_req());
     http_client_free(client);
     ck_assert_uint_eq(outcome.ends, 3);
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -178,9 +178,9 @@
 {
     backend_t a = {.name = "a"};
     backend_t b = {.name = "b"};
-    candidate_t held = make_candidate(&a, 80, 1000);
+    candidate_t cached = make_candidate(&a, 80, 1000);
     candidate_t idle = make_candidate(&b, 0, 0);
-    candidate_t candidates[2] = {held, idle};
+    candidate_t candidates[2] = {cached, idle};
     candidates[1].rendezvous_weight = 0;
     candidates[0].rendezvous_weight = 1;
     ck_assert_str_eq(choose("cost", candidates, 2, OBJECTIVE_TAIL_LATENCY),
