--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -35,7 +35,7 @@
         return;
     }
     if (service->reply.len + len > REPLY_BYTES_MAX) {
-        service->overflow = true;
+        service->reply_too_long = true;
         return;
     }
     buf_add(&service->reply, data, len);
@@ -69,7 +69,7 @@
     op->status = status;
     op->deadline_ms = time_mono_ms() + RECORD_TIMEOUT_MS;
     op->not_before_ms = time_mono_ms() + CLAIM_RECORD_DELAY_MS;
-    if (kind == CLAIM_OP_DONE && !service->overflow &&
+    if (kind == CLAIM_OP_DONE && !service->reply_too_long &&
         service->reply.len <= CLAIM_BODY_MAX &&
         utf8_is_valid(buf_text(&service->reply), service->reply.len)) {
         op->body = strdup(buf_text(&service->reply));
@@ -129,7 +129,7 @@
     if (end == HTTP_END_COMPLETE) {
         view_record_success(call->daemon->view, call->backend_id);
         service_record_outcome(call, CLAIM_OP_DONE, status);
-        if (service->overflow) {
+        if (service->reply_too_long) {
             fail_reply_too_long(call);
             return;
         }
@@ -246,8 +246,9 @@
     call_end(call, OUTCOME_DONE);
 }
 
-/* Act on the result of a claim: send the call, replay the recorded outcome, or
- * answer that the outcome is unknown. */
+/* Act on the result of a claim: send the call, replay the recorded outcome,
+ * answer that the outcome is unknown, or reject the call if the store did not
+ * answer. */
 static void
 on_claim(claim_op_t *op, void *arg)
 {
@@ -330,20 +331,21 @@
         return;
     }
     call_t *call = call_new(daemon, req, CALL_SERVICE, workspace, name);
-    service_call_t *state = &call->u.service;
-    state->method = strdup(http_req_method(req));
-    buf_str(&state->request_target, path[len] == '\0' ? "/" : "");
-    http_req_target(req, strlen(SERVICES_PATH) + len, &state->request_target);
-    str_copy(state->content_type, sizeof(state->content_type),
+    service_call_t *service_call = &call->u.service;
+    service_call->method = strdup(http_req_method(req));
+    buf_str(&service_call->request_target, path[len] == '\0' ? "/" : "");
+    http_req_target(req, strlen(SERVICES_PATH) + len,
+                    &service_call->request_target);
+    str_copy(service_call->content_type, sizeof(service_call->content_type),
              http_req_header(req, "Content-Type"));
-    buf_add(&state->body, body, body_len);
-    state->idempotent = is_idempotent(service, state->method);
+    buf_add(&service_call->body, body, body_len);
+    service_call->idempotent = is_idempotent(service, service_call->method);
     call->queue_item.cost = 1;
-    id_random(state->claim_token);
+    id_random(service_call->claim_token);
     retry_budget_earn(&daemon->retry_budget);
     call_emit_event(call, "received", key);
-    if (key != NULL && !state->idempotent) {
-        claim_key(workspace->name, name, key, state->claim_key);
+    if (key != NULL && !service_call->idempotent) {
+        claim_key(workspace->name, name, key, service_call->claim_key);
         submit_claim(call);
     }
     else {
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -112,7 +112,7 @@
     buf_t request_target; /* path and query, without the service name */
     char content_type[128];
     char reply_content_type[128];
-    bool overflow; /* the reply is too long to pass on */
+    bool reply_too_long; /* over REPLY_BYTES_MAX; the caller gets a 502 */
     buf_t body;
     buf_t reply;
     bool idempotent;
--- a/tests/test-http-reader.c
+++ b/tests/test-http-reader.c
@@ -126,7 +126,7 @@
 }
 END_TEST
 
-START_TEST(a_request_may_come_byte_by_byte)
+START_TEST(a_request_may_arrive_byte_by_byte)
 {
     static const char text[] =
         "POST /p?q=1 HTTP/1.1\r\nHost: a\r\nX-A: 1\r\nx-a: 2 \r\n"
@@ -206,6 +206,6 @@
 
 TEST_MAIN("http-reader", ambiguous_requests_are_rejected,
           a_head_over_the_limit_gets_431, the_next_request_stays_in_the_buffer,
-          a_request_may_come_byte_by_byte,
+          a_request_may_arrive_byte_by_byte,
           a_response_without_a_length_ends_with_its_connection,
           damaged_messages_stay_within_bounds)
