--- a/daemons/celeryspool-timeline.c
+++ b/daemons/celeryspool-timeline.c
@@ -103,7 +103,7 @@
     source_t source = {.file = fopen(path, "re")};
     for (source_advance(&source); source.next != NULL;
          source_advance(&source)) {
-        const char *id = json_text(source.next, "sent");
+        const char *id = json_get_string(source.next, "sent");
         if (id != NULL) {
             (void)json_object_set_new(messages->all_sent, id, json_true());
         }
@@ -116,7 +116,7 @@
 static bool
 must_wait(const messages_t *messages, const json_t *event)
 {
-    const char *id = json_text(event, "received");
+    const char *id = json_get_string(event, "received");
     return id != NULL && json_object_get(messages->all_sent, id) != NULL &&
            json_object_get(messages->emitted, id) == NULL;
 }
@@ -135,8 +135,8 @@
             continue;
         }
         bool waits = must_wait(messages, source->next);
-        bool earlier = best == NULL || json_int(source->next, "t", 0) <
-                                           json_int(best->next, "t", 0);
+        bool earlier = best == NULL || json_get_int(source->next, "t", 0) <
+                                           json_get_int(best->next, "t", 0);
         if (best == NULL || (best_waits && !waits) ||
             (waits == best_waits && earlier)) {
             best = source;
@@ -149,7 +149,7 @@
 static bool
 field_is(const json_t *event, const char *key, const char *want)
 {
-    const char *have = json_text(event, key);
+    const char *have = json_get_string(event, key);
     return want == NULL || (have != NULL && strcmp(have, want) == 0);
 }
 
@@ -165,7 +165,7 @@
 static const char *
 text_or_empty(const json_t *event, const char *key)
 {
-    const char *text = json_text(event, key);
+    const char *text = json_get_string(event, key);
     return text == NULL ? "" : text;
 }
 
@@ -178,7 +178,7 @@
         (void)printf("%s\n", line);
         return;
     }
-    long long at = (long long)(json_int(event, "t", 0) - first_ms);
+    long long at = (long long)(json_get_int(event, "t", 0) - first_ms);
     if (args->columns) {
         (void)printf("%8lld  %*s* %s %s %s\n", at, column * 4, "",
                      text_or_empty(event, "kind"),
@@ -199,13 +199,13 @@
     source_t *source;
     while ((source = pick_source(sources, args->file_count, messages)) !=
            NULL) {
-        const char *sent = json_text(source->next, "sent");
+        const char *sent = json_get_string(source->next, "sent");
         if (sent != NULL) {
             (void)json_object_set_new(messages->emitted, sent, json_true());
         }
         if (matches_filters(args, source->next)) {
             first_ms =
-                first_ms < 0 ? json_int(source->next, "t", 0) : first_ms;
+                first_ms < 0 ? json_get_int(source->next, "t", 0) : first_ms;
             print_event(args, source->next, first_ms, (int)(source - sources));
         }
         source_advance(source);
--- a/daemons/celeryspoolctl.c
+++ b/daemons/celeryspoolctl.c
@@ -227,8 +227,8 @@
 print_error(const json_t *reply, const char *line)
 {
     const json_t *error = json_object_get(reply, "error");
-    const char *message = json_text(error, "message");
-    int word = (int)json_int(error, "word", -1);
+    const char *message = json_get_string(error, "message");
+    int word = (int)json_get_int(error, "word", -1);
     if (word >= 0) {
         (void)fprintf(stderr, "%s\n%*s^\n", line, (int)word_column(line, word),
                       "");
@@ -237,7 +237,7 @@
                   message == NULL ? "command rejected" : message);
     if (json_object_get(reply, "generation") != NULL) {
         (void)fprintf(stderr, "generation in force: %lld\n",
-                      (long long)json_int(reply, "generation", 0));
+                      (long long)json_get_int(reply, "generation", 0));
     }
     const json_t *changes = json_object_get(reply, "changed_since");
     if (json_array_size(changes) > 0) {
@@ -278,7 +278,7 @@
     at = state == 0 ? 0 : at;
     for (; at < json_array_size(completion_rows); at++) {
         const char *name =
-            json_text(json_array_get(completion_rows, at), "name");
+            json_get_string(json_array_get(completion_rows, at), "name");
         if (name != NULL && strncmp(name, text, strlen(text)) == 0) {
             at++;
             return strdup(name);
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -115,11 +115,11 @@
 remove_continued_message(json_t *messages, const json_t *body)
 {
     size_t count = json_array_size(messages);
-    if (!json_flag(body, "continue_final_message") || count == 0) {
+    if (!json_get_bool(body, "continue_final_message") || count == 0) {
         return 0;
     }
     const char *text =
-        json_text(json_array_get(messages, count - 1), "content");
+        json_get_string(json_array_get(messages, count - 1), "content");
     uint32_t done = answer_count_tokens(text == NULL ? "" : text);
     (void)json_array_remove(messages, count - 1);
     return done;
@@ -141,16 +141,16 @@
     CLEAN_BUF buf_t prompt = {0};
     prefix_render(messages, &prompt);
 
-    const char *salt = json_text(body, "cache_salt");
-    const char *id = json_text(body, "request_id");
+    const char *salt = json_get_string(body, "cache_salt");
+    const char *id = json_get_string(body, "request_id");
     seq_t *seq = mem_zalloc(sizeof(*seq));
     seq_compute_blocks(engine, seq, &full, salt == NULL ? "" : salt);
     seq->seed = answer_seed(buf_text(&prompt), prompt.len, engine->version);
     seq->max_tokens =
-        (uint32_t)json_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
+        (uint32_t)json_get_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
     seq->emitted = done;
-    seq->priority = (int)json_int(body, "priority", 0);
-    seq->stream = json_flag(body, "stream");
+    seq->priority = (int)json_get_int(body, "priority", 0);
+    seq->stream = json_get_bool(body, "stream");
     seq->arrival = engine->next_arrival++;
     seq->req = req;
     str_copy(seq->id, sizeof(seq->id), id == NULL ? "" : id);
@@ -234,7 +234,7 @@
 /* Completes the answer for the attached client, unless the sequence is
  * stalled: then the client must see no end either. */
 void
-engine_finish_reader(engine_t *engine, seq_t *seq)
+engine_finish_response(engine_t *engine, seq_t *seq)
 {
     (void)engine;
     if (seq->req == NULL || seq->stalled) {
@@ -316,7 +316,7 @@
     if (seq->emitted >= seq->max_tokens) {
         seq->done = true;
         seq->ended_ms = time_mono_ms();
-        engine_finish_reader(engine, seq);
+        engine_finish_response(engine, seq);
     }
 }
 
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -16,7 +16,7 @@
 handle_chat(engine_t *engine, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    const char *want = body == NULL ? NULL : json_text(body, "version");
+    const char *want = body == NULL ? NULL : json_get_string(body, "version");
     err_t err = {0};
     if (engine->loading[0] != '\0') {
         add_identity(engine, req);
@@ -74,7 +74,7 @@
     http_req_stream(req, 200, "text/event-stream");
     engine_emit_tokens(engine, seq, from, seq->emitted);
     if (seq->done) {
-        engine_finish_reader(engine, seq);
+        engine_finish_response(engine, seq);
     }
 }
 
@@ -115,8 +115,8 @@
 handle_order(engine_t *engine, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    const char *version = json_text(body, "version");
-    int64_t fencing_token = json_int(body, "fence", 0);
+    const char *version = json_get_string(body, "version");
+    int64_t fencing_token = json_get_int(body, "fence", 0);
     if (version == NULL) {
         http_req_reply_error(req, 400, "bad_order", "version is missing");
         return;
@@ -141,7 +141,7 @@
 static void
 update_setting(const json_t *body, const char *key, unsigned *setting)
 {
-    *setting = (unsigned)json_int(body, key, (json_int_t)*setting);
+    *setting = (unsigned)json_get_int(body, key, (json_int_t)*setting);
 }
 
 static void
@@ -167,15 +167,15 @@
     update_setting(body, "version_load_ms", &settings->version_load_ms);
     update_setting(body, "event_drop_percent", &settings->event_drop_percent);
     if (json_object_get(body, "frozen") != NULL) {
-        settings->frozen = json_flag(body, "frozen");
+        settings->frozen = json_get_bool(body, "frozen");
     }
     if (json_object_get(body, "honours_fencing") != NULL) {
-        settings->honours_fencing = json_flag(body, "honours_fencing");
+        settings->honours_fencing = json_get_bool(body, "honours_fencing");
     }
-    if (json_flag(body, "silence_streams")) {
+    if (json_get_bool(body, "silence_streams")) {
         stall_streams(engine);
     }
-    if (json_flag(body, "crash_empty")) {
+    if (json_get_bool(body, "crash_empty")) {
         engine_restart_empty(engine);
     }
     http_req_reply(req, 200, "application/json", "{}", 2);
--- a/fakes/fake-load.c
+++ b/fakes/fake-load.c
@@ -98,11 +98,11 @@
         (void)json_object_set_new(
             out, key,
             json_integer(json_integer_value(value) -
-                         json_int(stats->engines_baseline, key, 0)));
+                         json_get_int(stats->engines_baseline, key, 0)));
     }
-    double cached = (double)json_int(out, "tokens_cached", 0);
-    double prefilled = (double)json_int(out, "tokens_prefilled", 0);
-    double new_tokens = (double)json_int(out, "tokens_new", 0);
+    double cached = (double)json_get_int(out, "tokens_cached", 0);
+    double prefilled = (double)json_get_int(out, "tokens_prefilled", 0);
+    double new_tokens = (double)json_get_int(out, "tokens_new", 0);
     double prompt_tokens = cached + prefilled;
     (void)json_object_set_new(
         out, "hit_rate",
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -73,14 +73,14 @@
 admin_store(platform_store_t *store, const json_t *command)
 {
     if (json_object_get(command, "down") != NULL) {
-        store->faults.down = json_flag(command, "down");
+        store->faults.down = json_get_bool(command, "down");
     }
     if (json_object_get(command, "silent") != NULL) {
-        store->faults.silent = json_flag(command, "silent");
+        store->faults.silent = json_get_bool(command, "silent");
     }
     store->faults.answers_to_drop =
-        (int)json_int(command, "lose", store->faults.answers_to_drop);
-    if (json_flag(command, "forget")) {
+        (int)json_get_int(command, "lose", store->faults.answers_to_drop);
+    if (json_get_bool(command, "forget")) {
         store->faults.history_start = store->revision + 1;
         store->revision += 2;
     }
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -39,9 +39,9 @@
 apply_effect(service_t *service, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    const char *key = json_text(body, "key");
+    const char *key = json_get_string(body, "key");
     key = key == NULL ? "none" : key;
-    int64_t count = json_int(service->effects, key, 0) + 1;
+    int64_t count = json_get_int(service->effects, key, 0) + 1;
     (void)json_object_set_new(service->effects, key, json_integer(count));
     if (service->cuts_after_effect > 0) {
         service->cuts_after_effect--;
@@ -77,11 +77,11 @@
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
     service->delay_ms =
-        (unsigned)json_int(body, "delay_ms", service->delay_ms);
-    service->cuts_before_effect =
-        (unsigned)json_int(body, "cut_before", service->cuts_before_effect);
+        (unsigned)json_get_int(body, "delay_ms", service->delay_ms);
+    service->cuts_before_effect = (unsigned)json_get_int(
+        body, "cut_before", service->cuts_before_effect);
     service->cuts_after_effect =
-        (unsigned)json_int(body, "cut_after", service->cuts_after_effect);
+        (unsigned)json_get_int(body, "cut_after", service->cuts_after_effect);
     http_req_reply(req, 200, "application/json", "{}", 2);
 }
 
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -138,7 +138,7 @@
     const char *after = http_req_query(req, "after");
     const json_t *object = json_object_get(store->objects, name);
     int64_t current_version =
-        object == NULL ? 0 : json_int(object, "version", 0);
+        object == NULL ? 0 : json_get_int(object, "version", 0);
     if (after != NULL && current_version <= strtoll(after, NULL, 10)) {
         watcher_add(store, req, name, strtoll(after, NULL, 10));
         return;
@@ -157,7 +157,7 @@
     const char *text = http_req_body(req, &len);
     const json_t *object = json_object_get(store->objects, name);
     int64_t current_version =
-        object == NULL ? 0 : json_int(object, "version", 0);
+        object == NULL ? 0 : json_get_int(object, "version", 0);
     if (len > VALUE_MAX) {
         http_req_reply_error(req, 413, "too_large", "over a megabyte");
         return;
@@ -212,11 +212,11 @@
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
     if (json_object_get(body, "outage") != NULL) {
-        store->outage = json_flag(body, "outage");
+        store->outage = json_get_bool(body, "outage");
     }
-    store->delay_ms = (unsigned)json_int(body, "slow_ms", store->delay_ms);
+    store->delay_ms = (unsigned)json_get_int(body, "slow_ms", store->delay_ms);
     store->answers_to_drop =
-        (unsigned)json_int(body, "lose_answers", store->answers_to_drop);
+        (unsigned)json_get_int(body, "lose_answers", store->answers_to_drop);
     if (json_object_get(body, "hosts") != NULL) {
         json_decref(store->hosts);
         store->hosts = json_incref(json_object_get(body, "hosts"));
--- a/fakes/fakes.h
+++ b/fakes/fakes.h
@@ -97,7 +97,7 @@
 seq_t *engine_find(engine_t *engine, const char *id);
 void engine_emit_tokens(engine_t *engine, seq_t *seq, uint32_t from,
                         uint32_t to);
-void engine_finish_reader(engine_t *engine, seq_t *seq);
+void engine_finish_response(engine_t *engine, seq_t *seq);
 json_t *engine_get_load_report(engine_t *engine);
 void engine_handle(http_req_t *req, void *arg);
 
--- a/fakes/history.c
+++ b/fakes/history.c
@@ -26,7 +26,7 @@
     const char *key;
     json_t *list;
     json_object_foreach ((json_t *)answers, key, list) {
-        int64_t executions = json_int(effects, key, 0);
+        int64_t executions = json_get_int(effects, key, 0);
         size_t done = count_word(list, "done");
         size_t not_run =
             count_word(list, "not_run") + count_word(list, "refused");
@@ -65,17 +65,17 @@
                                   json_true());
     }
     json_array_foreach (events, i, event) {
-        const char *detail = json_text(event, "detail");
-        if (json_text_is(event, "kind", "ended") && detail != NULL &&
+        const char *detail = json_get_string(event, "detail");
+        if (json_string_equals(event, "kind", "ended") && detail != NULL &&
             strcmp(detail, "not_run") == 0) {
-            (void)json_object_set_new(not_run, json_text(event, "request"),
-                                      json_true());
+            (void)json_object_set_new(
+                not_run, json_get_string(event, "request"), json_true());
         }
     }
     json_array_foreach (events, i, event) {
-        const char *request = json_text(event, "request");
-        const char *sent_id = json_text(event, "sent");
-        if (json_text_is(event, "kind", "sent") && request != NULL &&
+        const char *request = json_get_string(event, "request");
+        const char *sent_id = json_get_string(event, "sent");
+        if (json_string_equals(event, "kind", "sent") && request != NULL &&
             sent_id != NULL && json_object_get(not_run, request) != NULL &&
             json_object_get(executed_ids, sent_id) != NULL) {
             buf_fmt(problems,
@@ -96,19 +96,20 @@
     const json_t *event;
     CLEAN_JSON json_t *generations = json_object();
     json_array_foreach (events, i, event) {
-        const char *process = json_text(event, "p");
-        const char *detail = json_text(event, "detail");
-        if (json_text_is(event, "kind", "daemon-started")) {
+        const char *process = json_get_string(event, "p");
+        const char *detail = json_get_string(event, "detail");
+        if (json_string_equals(event, "kind", "daemon-started")) {
             (void)json_object_del(generations, process);
         }
-        if (!json_text_is(event, "kind", "config-adopted") || detail == NULL) {
+        if (!json_string_equals(event, "kind", "config-adopted") ||
+            detail == NULL) {
             continue;
         }
         int64_t generation =
             strtoll(detail + strcspn(detail, "0123456789"), NULL, 10);
-        if (generation <= json_int(generations, process, 0)) {
+        if (generation <= json_get_int(generations, process, 0)) {
             buf_fmt(problems, "%s: generation went from %lld to %lld; ",
-                    process, (long long)json_int(generations, process, 0),
+                    process, (long long)json_get_int(generations, process, 0),
                     (long long)generation);
             violations++;
         }
@@ -127,11 +128,11 @@
     size_t i;
     const json_t *event;
     json_array_foreach (events, i, event) {
-        const char *sent_to = json_text(event, "backend");
-        if (json_text_is(event, "kind", "sent") && sent_to != NULL &&
+        const char *sent_to = json_get_string(event, "backend");
+        if (json_string_equals(event, "kind", "sent") && sent_to != NULL &&
             strcmp(sent_to, backend) == 0 &&
-            json_int(event, "t", 0) > last_ms) {
-            last_ms = json_int(event, "t", 0);
+            json_get_int(event, "t", 0) > last_ms) {
+            last_ms = json_get_int(event, "t", 0);
         }
     }
     return last_ms;
--- a/fakes/load-blocks.c
+++ b/fakes/load-blocks.c
@@ -119,8 +119,8 @@
         for (size_t k = 0; k < sizeof(keys) / sizeof(keys[0]); k++) {
             (void)json_object_set_new(
                 sums, keys[k],
-                json_integer(json_int(sums, keys[k], 0) +
-                             json_int(truth, keys[k], 0)));
+                json_integer(json_get_int(sums, keys[k], 0) +
+                             json_get_int(truth, keys[k], 0)));
         }
     }
     return sums;
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -207,7 +207,7 @@
     const json_t *choice =
         json_array_get(json_object_get(event, "choices"), 0);
     const char *content =
-        json_text(json_object_get(choice, "delta"), "content");
+        json_get_string(json_object_get(choice, "delta"), "content");
     if (content == NULL) {
         return;
     }
@@ -261,7 +261,7 @@
                                          request->response_body.len, 0, NULL);
     const json_t *choice = json_array_get(json_object_get(body, "choices"), 0);
     const char *content =
-        json_text(json_object_get(choice, "message"), "content");
+        json_get_string(json_object_get(choice, "message"), "content");
     request->first_token_us = time_mono_us();
     buf_str(&request->answer_text, content == NULL ? "" : content);
 }
--- a/fakes/platform-server.c
+++ b/fakes/platform-server.c
@@ -311,9 +311,9 @@
 static int
 apply_order(platform_server_t *server, const json_t *order)
 {
-    int64_t fencing_token = json_int(order, "fencing_token", 0);
-    int64_t version = json_int(order, "version", 0);
-    if (json_text(order, "holder") == NULL || fencing_token == 0) {
+    int64_t fencing_token = json_get_int(order, "fencing_token", 0);
+    int64_t version = json_get_int(order, "version", 0);
+    if (json_get_string(order, "holder") == NULL || fencing_token == 0) {
         return 400;
     }
     if (fencing_token < server->fencing_token) {
@@ -323,8 +323,9 @@
     if (version == server->version) {
         return 200;
     }
-    if (server->loading || json_int(order, "expect", server->order_count) !=
-                               server->order_count) {
+    if (server->loading ||
+        json_get_int(order, "expect", server->order_count) !=
+            server->order_count) {
         return 409;
     }
     server->order_count++;
@@ -422,18 +423,18 @@
 int
 server_command(platform_server_t *server, const json_t *command)
 {
-    const char *mode = json_text(command, "mode");
+    const char *mode = json_get_string(command, "mode");
     for (size_t i = 0; mode != NULL && i < 7; i++) {
         if (strcmp(mode, mode_names[i]) == 0) {
             server->mode = (server_mode_t)i;
         }
     }
     server->events =
-        (unsigned)json_int(command, "events", (int64_t)server->events);
-    server->event_interval_ms = (unsigned)json_int(
+        (unsigned)json_get_int(command, "events", (int64_t)server->events);
+    server->event_interval_ms = (unsigned)json_get_int(
         command, "gap_ms", (int64_t)server->event_interval_ms);
-    server->draining = server->draining || json_flag(command, "draining");
-    if (json_flag(command, "gone")) {
+    server->draining = server->draining || json_get_bool(command, "draining");
+    if (json_get_bool(command, "gone")) {
         server->removed = true;
         store_remove(server->store, "servers", server->id);
     }
--- a/fakes/platform-store.c
+++ b/fakes/platform-store.c
@@ -76,8 +76,8 @@
     size_t index;
     json_t *event;
     json_array_foreach (store->events, index, event) {
-        if (json_int(event, "revision", 0) > after_revision &&
-            json_text_is(event, "kind", kind)) {
+        if (json_get_int(event, "revision", 0) > after_revision &&
+            json_string_equals(event, "kind", kind)) {
             (void)json_array_append(out, event);
         }
     }
@@ -251,7 +251,7 @@
 {
     const json_t *metadata = json_object_get(body, "metadata");
     const char *object_name =
-        name != NULL ? name : json_text(metadata, "name");
+        name != NULL ? name : json_get_string(metadata, "name");
     json_t *spec = json_object_get(body, "specification");
     const json_t *old = object_name != NULL
                             ? store_find_object(store, kind, object_name)
@@ -265,10 +265,10 @@
     if (method == EVHTTP_REQ_PUT && old == NULL) {
         return 404;
     }
-    int64_t expected_revision = json_int(metadata, "revision", 0);
+    int64_t expected_revision = json_get_int(metadata, "revision", 0);
     if (expected_revision != 0 &&
         expected_revision !=
-            json_int(json_object_get(old, "metadata"), "revision", 0)) {
+            json_get_int(json_object_get(old, "metadata"), "revision", 0)) {
         return 409;
     }
     store_set(store, kind, object_name, json_incref(spec));
@@ -283,8 +283,9 @@
     int status =
         apply_write(store, evhttp_request_get_command(req), kind, name, body);
     const char *object_name =
-        name != NULL ? name
-                     : json_text(json_object_get(body, "metadata"), "name");
+        name != NULL
+            ? name
+            : json_get_string(json_object_get(body, "metadata"), "name");
     if (status < 300 && store->faults.answers_to_drop > 0) {
         store->faults.answers_to_drop--;
         return; /* applied, but never answered */
--- a/kernel/admin.c
+++ b/kernel/admin.c
@@ -81,14 +81,14 @@
     size_t len;
     const char *text = http_req_body(req, &len);
     CLEAN_JSON json_t *body = json_loadb(text, len, 0, NULL);
-    const char *line = json_text(body, "line");
+    const char *line = json_get_string(body, "line");
     if (line == NULL) {
         http_req_reply_error(req, 400, "bad_request",
                              "the body needs a string field line");
         return;
     }
     submit_command(daemon, req, operator_name, line,
-                   json_int(body, "if_generation", -1));
+                   json_get_int(body, "if_generation", -1));
 }
 
 /* GET /admin/v1/config returns the current document. */
--- a/kernel/base.h
+++ b/kernel/base.h
@@ -129,9 +129,10 @@
         (pthread_mutex_lock(mutex), (mutex));                            \
     (void)scope_lock
 
-const char *json_text(const json_t *object, const char *key);
-bool json_text_is(const json_t *object, const char *key, const char *want);
-int64_t json_int(const json_t *object, const char *key, int64_t fallback);
-bool json_flag(const json_t *object, const char *key);
+const char *json_get_string(const json_t *object, const char *key);
+bool json_string_equals(const json_t *object, const char *key,
+                        const char *want);
+int64_t json_get_int(const json_t *object, const char *key, int64_t fallback);
+bool json_get_bool(const json_t *object, const char *key);
 
 #endif
--- a/kernel/call-chat.c
+++ b/kernel/call-chat.c
@@ -17,11 +17,11 @@
         return err_set(err, ERR_CALL, 400, "messages[%zu] is not an object",
                        index);
     }
-    if (json_text(message, "role") == NULL) {
+    if (json_get_string(message, "role") == NULL) {
         return err_set(err, ERR_CALL, 400,
                        "messages[%zu].role is missing or not a text", index);
     }
-    if (json_text(message, "content") == NULL) {
+    if (json_get_string(message, "content") == NULL) {
         return err_set(err, ERR_CALL, 400,
                        "messages[%zu].content is missing or not a text",
                        index);
@@ -100,12 +100,12 @@
 {
     json_t *messages = json_object_get(chat->body, "messages");
     size_t count = json_array_size(messages);
-    if (!json_flag(chat->body, "continue_final_message") || count == 0) {
+    if (!json_get_bool(chat->body, "continue_final_message") || count == 0) {
         return;
     }
     (void)json_object_del(chat->body, "continue_final_message");
     const char *text =
-        json_text(json_array_get(messages, count - 1), "content");
+        json_get_string(json_array_get(messages, count - 1), "content");
     buf_str(&chat->text, text);
     (void)json_array_remove(messages, count - 1);
 }
@@ -192,7 +192,7 @@
         http_req_reply_error(req, 400, "bad_request", "%s", err.text);
         return;
     }
-    const char *model = json_text(body, "model");
+    const char *model = json_get_string(body, "model");
     if (config_find_model(config, model) == NULL) {
         http_req_reply_header(req, OUTCOME_HEADER,
                               outcome_name(OUTCOME_NOT_RUN));
@@ -205,7 +205,7 @@
     call_t *call = call_new(daemon, req, CALL_CHAT, workspace, model);
     chat_t *chat = &call->u.chat;
     chat->body = body;
-    chat->stream = json_flag(body, "stream");
+    chat->stream = json_get_bool(body, "stream");
     move_partial_answer(chat);
     cache_salt_derive(daemon->settings.secret, workspace->name, model,
                       chat->salt);
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -130,8 +130,8 @@
     CLEAN_JSON json_t *reply =
         json_loadb(buf_text(&probe->body), probe->body.len, 0, NULL);
     bool known = end == HTTP_END_COMPLETE && status == 200;
-    if (known && (json_int(reply, "emitted", 0) > call->u.chat.emitted ||
-                  json_flag(reply, "done"))) {
+    if (known && (json_get_int(reply, "emitted", 0) > call->u.chat.emitted ||
+                  json_get_bool(reply, "done"))) {
         call_emit_event(call, "line-silent", NULL);
         abandon_attempt(call);
         chat_recover(call, true);
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -343,7 +343,7 @@
     retry_budget_earn(&daemon->retry_budget);
     call_emit_event(call, "received", key);
     if (key != NULL && !state->idempotent) {
-        claim_key(workspace->name, name, key, state->claim_key);
+        claim_key_derive(workspace->name, name, key, state->claim_key);
         submit_claim(call);
     }
     else {
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -137,8 +137,8 @@
     if (usage == NULL || chat->prompt_tokens > 0) {
         return;
     }
-    chat->prompt_tokens = (uint32_t)json_int(usage, "prompt_tokens", 0);
-    chat->cached_tokens = (uint32_t)json_int(details, "cached_tokens", 0);
+    chat->prompt_tokens = (uint32_t)json_get_int(usage, "prompt_tokens", 0);
+    chat->cached_tokens = (uint32_t)json_get_int(details, "cached_tokens", 0);
 }
 
 /* Handle an upstream event: a token, the usage at the end, or [DONE]. */
@@ -161,12 +161,12 @@
     const json_t *choice =
         json_array_get(json_object_get(event, "choices"), 0);
     const char *content =
-        json_text(json_object_get(choice, "delta"), "content");
+        json_get_string(json_object_get(choice, "delta"), "content");
     parse_usage(chat, json_object_get(event, "usage"));
     if (content == NULL) {
         return;
     }
-    int64_t index = json_int(event, "token_index", chat->emitted);
+    int64_t index = json_get_int(event, "token_index", chat->emitted);
     /* Tokens that the caller already has are skipped.  An index that is ahead
      * means that tokens are missing: the answer must not look complete. */
     chat->has_gap = chat->has_gap || index > (int64_t)chat->emitted;
--- a/kernel/claim-op.c
+++ b/kernel/claim-op.c
@@ -26,8 +26,8 @@
 
 /* Derives the key of the log for a caller's idempotency key. */
 void
-claim_key(const char *workspace, const char *service, const char *key,
-          char out[CLAIM_KEY_LEN + 1])
+claim_key_derive(const char *workspace, const char *service, const char *key,
+                 char out[CLAIM_KEY_LEN + 1])
 {
     unsigned char raw[CLAIM_KEY_LEN / 2];
     CLEAN_BUF buf_t text = {0};
@@ -43,19 +43,19 @@
 static void
 apply_entry(json_t *claims, const json_t *entry)
 {
-    const char *key = json_text(entry, "k");
-    const char *token = json_text(entry, "t");
+    const char *key = json_get_string(entry, "k");
+    const char *token = json_get_string(entry, "t");
     if (key == NULL || token == NULL) {
         return;
     }
     json_t *current = json_object_get(claims, key);
-    if (json_text_is(entry, "s", "claim")) {
-        if (current == NULL || json_text_is(current, "s", "not_run")) {
+    if (json_string_equals(entry, "s", "claim")) {
+        if (current == NULL || json_string_equals(current, "s", "not_run")) {
             (void)json_object_set_new(claims, key, json_deep_copy(entry));
         }
     }
-    else if (current != NULL && json_text_is(current, "t", token) &&
-             json_text_is(current, "s", "claim")) {
+    else if (current != NULL && json_string_equals(current, "t", token) &&
+             json_string_equals(current, "s", "claim")) {
         (void)json_object_set_new(claims, key, json_deep_copy(entry));
     }
 }
--- a/kernel/claim-shard.c
+++ b/kernel/claim-shard.c
@@ -117,7 +117,7 @@
     json_decref(shard->claims);
     shard->claims = json_object();
     json_array_foreach (json_object_get(shard->head, "sealed"), i, chunk) {
-        const char *name = json_text(chunk, "n");
+        const char *name = json_get_string(chunk, "n");
         claim_apply_entries(shard->claims,
                             json_object_get(shard->chunks, name));
     }
@@ -132,7 +132,7 @@
     size_t i;
     const json_t *chunk;
     json_array_foreach (json_object_get(shard->head, "sealed"), i, chunk) {
-        const char *name = json_text(chunk, "n");
+        const char *name = json_get_string(chunk, "n");
         if (json_object_get(shard->chunks, name) == NULL) {
             return name;
         }
@@ -143,8 +143,8 @@
 static void
 copy_outcome(claim_op_t *op, const json_t *current)
 {
-    const char *body = json_text(current, "b");
-    op->status = (int)json_int(current, "st", 0);
+    const char *body = json_get_string(current, "b");
+    op->status = (int)json_get_int(current, "st", 0);
     free(op->body);
     op->body = body == NULL ? NULL : strdup(body);
 }
@@ -155,13 +155,13 @@
 resolve_claim(const claim_shard_t *shard, claim_op_t *op, bool *needs_read)
 {
     const json_t *current = json_object_get(shard->claims, op->key);
-    if (current == NULL || json_text_is(current, "s", "not_run")) {
+    if (current == NULL || json_string_equals(current, "s", "not_run")) {
         return CLAIM_PENDING;
     }
-    if (json_text_is(current, "t", op->token)) {
+    if (json_string_equals(current, "t", op->token)) {
         return CLAIM_WON;
     }
-    if (json_text_is(current, "s", "done")) {
+    if (json_string_equals(current, "s", "done")) {
         copy_outcome(op, current);
         return CLAIM_DONE;
     }
@@ -179,8 +179,9 @@
         return resolve_claim(shard, op, needs_read);
     }
     const json_t *current = json_object_get(shard->claims, op->key);
-    bool is_own = current != NULL && json_text_is(current, "t", op->token);
-    if (is_own && !json_text_is(current, "s", "claim")) {
+    bool is_own =
+        current != NULL && json_string_equals(current, "t", op->token);
+    if (is_own && !json_string_equals(current, "s", "claim")) {
         return CLAIM_RECORDED;
     }
     /* If the claim is not in the log, the entry that it did not run is still
@@ -229,7 +230,7 @@
 contains_key(const json_t *entries, size_t from, const char *key)
 {
     for (size_t i = from; i < json_array_size(entries); i++) {
-        if (json_text_is(json_array_get(entries, i), "k", key)) {
+        if (json_string_equals(json_array_get(entries, i), "k", key)) {
             return true;
         }
     }
@@ -257,7 +258,7 @@
 format_chunk_name(const claim_shard_t *shard, char *out, size_t size)
 {
     (void)snprintf(out, size, "claims/%u-%lld-%lld", shard->index,
-                   (long long)json_int(shard->head, "chunk", 0),
+                   (long long)json_get_int(shard->head, "chunk", 0),
                    (long long)shard->version);
 }
 
@@ -265,7 +266,7 @@
 drop_old_chunks(json_t *sealed, int64_t wall_ms)
 {
     while (json_array_size(sealed) > 0 &&
-           json_int(json_array_get(sealed, 0), "at", 0) <
+           json_get_int(json_array_get(sealed, 0), "at", 0) <
                wall_ms - CLAIM_RETENTION_MS) {
         (void)json_array_remove(sealed, 0);
     }
@@ -288,7 +289,7 @@
         sealed, json_pack("{s:s,s:I}", "n", name, "at", (json_int_t)wall_ms));
     (void)json_object_set_new(
         shard->head, "chunk",
-        json_integer(json_int(shard->head, "chunk", 0) + 1));
+        json_integer(json_get_int(shard->head, "chunk", 0) + 1));
     (void)json_object_set_new(shard->head, "entries", json_array());
 }
 
@@ -498,7 +499,7 @@
         case STORE_REFUSED:
             handle_unavailable(shard, now_ms);
             return;
-        case STORE_LOST:
+        case STORE_UNKNOWN:
         case STORE_CONFLICT:
         case STORE_ABSENT:
             shard->head_known = false;
--- a/kernel/claim.h
+++ b/kernel/claim.h
@@ -78,8 +78,8 @@
                          const char *token);
 void claim_op_free(claim_op_t *op);
 void claim_apply_entries(json_t *claims, const json_t *entries);
-void claim_key(const char *workspace, const char *service, const char *key,
-               char out[CLAIM_KEY_LEN + 1]);
+void claim_key_derive(const char *workspace, const char *service,
+                      const char *key, char out[CLAIM_KEY_LEN + 1]);
 
 /* Runs the shards against a store. */
 typedef struct claim_log claim_log_t;
--- a/kernel/config-change.c
+++ b/kernel/config-change.c
@@ -81,7 +81,7 @@
 config_change_record(json_t *doc, const char *id, const char *operator_name,
                      const char *description)
 {
-    int64_t from = json_int(doc, "generation", 0);
+    int64_t from = json_get_int(doc, "generation", 0);
     json_t *changes = json_object_get(doc, "changes");
     (void)json_object_set_new(doc, "generation", json_integer(from + 1));
     (void)json_array_append_new(
@@ -102,9 +102,9 @@
     size_t i;
     const json_t *entry;
     json_array_foreach (json_object_get(doc, "changes"), i, entry) {
-        const char *recorded_id = json_text(entry, "id");
+        const char *recorded_id = json_get_string(entry, "id");
         if (recorded_id != NULL && strcmp(recorded_id, id) == 0) {
-            *generation = json_int(entry, "to", 0);
+            *generation = json_get_int(entry, "to", 0);
             return true;
         }
     }
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -89,7 +89,7 @@
             return;
         case STORE_CONFLICT:
         case STORE_REFUSED:
-        case STORE_LOST:
+        case STORE_UNKNOWN:
             log_debug("config", "The watch on the configuration failed: %s.",
                       store_result_name(result));
             time_sleep_ms(WATCH_RETRY_MS);
@@ -146,12 +146,12 @@
     size_t i;
     json_t *change;
     json_array_foreach (json_object_get(commit->doc, "changes"), i, change) {
-        if (json_int(change, "to", 0) > commit->if_generation) {
+        if (json_get_int(change, "to", 0) > commit->if_generation) {
             (void)json_array_append(changes, change);
         }
     }
     return json_pack("{s:b,s:I,s:o}", "accepted", false, "generation",
-                     (json_int_t)json_int(commit->doc, "generation", 0),
+                     (json_int_t)json_get_int(commit->doc, "generation", 0),
                      "changed_since", changes);
 }
 
@@ -177,14 +177,14 @@
     store_result_t result = store_put_wait(
         commit->daemon->store, CONFIG_OBJECT, commit->version, next, &version);
     if (result == STORE_OK) {
-        commit->generation = json_int(next, "generation", 0);
+        commit->generation = json_get_int(next, "generation", 0);
         (void)config_sync_adopt(commit->daemon, next, version, "a command");
     }
     json_decref(next);
     switch (result) {
         case STORE_OK:
             return COMMIT_ACCEPTED;
-        case STORE_LOST:
+        case STORE_UNKNOWN:
             commit->may_be_accepted = true;
             return COMMIT_RETRY;
         case STORE_CONFLICT:
@@ -210,7 +210,7 @@
                                 "a command");
         return COMMIT_ACCEPTED;
     }
-    int64_t current = json_int(commit->doc, "generation", 0);
+    int64_t current = json_get_int(commit->doc, "generation", 0);
     if (commit->if_generation >= 0 && commit->if_generation != current) {
         *result = conflict_result(commit);
         (void)err_set(err, ERR_CONFIG, 409,
--- a/kernel/config.c
+++ b/kernel/config.c
@@ -192,7 +192,7 @@
 static int
 read_backend_kind(const item_t *item, backend_t *backend)
 {
-    const char *kind = json_text(item->fields, "kind");
+    const char *kind = json_get_string(item->fields, "kind");
     if (kind != NULL && strcmp(kind, "engine") == 0) {
         backend->kind = BACKEND_ENGINE;
         return 0;
@@ -243,7 +243,7 @@
     static const char *const keys[] = {"kind", "target", "begin_ms", "end_ms",
                                        NULL};
     static const char *const kinds[] = {"backend", "dc", "host"};
-    const char *kind = json_text(item->fields, "kind");
+    const char *kind = json_get_string(item->fields, "kind");
     str_copy(window->name, sizeof(window->name), item->name);
     if (item_check_fields(item, keys) != 0 ||
         item_read_text(item, "target", true, window->target,
@@ -297,9 +297,9 @@
 static int
 read_top_level(config_t *config, err_t *err)
 {
-    const char *objective = json_text(config->doc, "objective");
-    const char *policy = json_text(config->doc, "policy");
-    config->generation = json_int(config->doc, "generation", -1);
+    const char *objective = json_get_string(config->doc, "objective");
+    const char *policy = json_get_string(config->doc, "policy");
+    config->generation = json_get_int(config->doc, "generation", -1);
     if (config->generation < 0) {
         return err_set(err, ERR_CONFIG, 400, "generation is missing");
     }
--- a/kernel/event.c
+++ b/kernel/event.c
@@ -77,7 +77,7 @@
     if (want == NULL || want[0] == '\0') {
         return true;
     }
-    const char *have = json_text(line, key);
+    const char *have = json_get_string(line, key);
     return have != NULL && strcmp(have, want) == 0;
 }
 
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -82,14 +82,14 @@
 process_load(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
     load_report_t report = {
-        .running = (int)json_int(body, "running", 0),
-        .slots = (int)json_int(body, "slots", 0),
-        .waiting_tokens = (int)json_int(body, "waiting_tokens", 0),
-        .prefill_rate = (int)json_int(body, "prefill_rate", 0)};
-    const char *incarnation = json_text(body, "incarnation");
-    const char *version = json_text(body, "version");
+        .running = (int)json_get_int(body, "running", 0),
+        .slots = (int)json_get_int(body, "slots", 0),
+        .waiting_tokens = (int)json_get_int(body, "waiting_tokens", 0),
+        .prefill_rate = (int)json_get_int(body, "prefill_rate", 0)};
+    const char *incarnation = json_get_string(body, "incarnation");
+    const char *version = json_get_string(body, "version");
     str_copy(report.loading, sizeof(report.loading),
-             json_text(body, "loading"));
+             json_get_string(body, "loading"));
     if (incarnation == NULL || version == NULL) {
         return;
     }
@@ -123,7 +123,7 @@
 apply_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
     uint16_t id = view_assign_id(daemon->view, backend);
-    const char *incarnation = json_text(body, "incarnation");
+    const char *incarnation = json_get_string(body, "incarnation");
     size_t i;
     const json_t *event;
     backend_state_t state;
@@ -210,8 +210,8 @@
     size_t i;
     const json_t *host;
     json_array_foreach (hosts, i, host) {
-        const char *name = json_text(host, "name");
-        const char *state = json_text(host, "state");
+        const char *name = json_get_string(host, "name");
+        const char *state = json_get_string(host, "state");
         if (name != NULL && state != NULL) {
             view_set_host_leaving(daemon->view,
                                   view_assign_id(daemon->view, name),
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -43,11 +43,12 @@
     if (result != STORE_OK) {
         return -1;
     }
-    const char *holder = json_text(value, "holder");
-    int64_t takeover_ms = json_int(value, "until_ms", 0) + ORDER_TIMEOUT_MS;
+    const char *holder = json_get_string(value, "holder");
+    int64_t takeover_ms =
+        json_get_int(value, "until_ms", 0) + ORDER_TIMEOUT_MS;
     bool is_holder =
         holder != NULL && strcmp(holder, daemon->settings.name) == 0 &&
-        json_int(value, "incarnation", 0) == (int64_t)daemon->incarnation;
+        json_get_int(value, "incarnation", 0) == (int64_t)daemon->incarnation;
     return is_holder || time_wall_ms() > takeover_ms ? 0 : -1;
 }
 
--- a/kernel/prefix.c
+++ b/kernel/prefix.c
@@ -26,8 +26,8 @@
 static void
 render_message(const json_t *message, buf_t *text)
 {
-    const char *role = json_text(message, "role");
-    const char *content = json_text(message, "content");
+    const char *role = json_get_string(message, "role");
+    const char *content = json_get_string(message, "content");
     buf_str(text, role == NULL ? "" : role);
     buf_str(text, "\n");
     buf_str(text, content == NULL ? "" : content);
--- a/kernel/snapshot.c
+++ b/kernel/snapshot.c
@@ -147,7 +147,7 @@
             continue;
         }
         snapshot_apply(daemon, snapshot, settings->seeds[i]);
-        if (json_flag(snapshot, "warm")) {
+        if (json_get_bool(snapshot, "warm")) {
             return true;
         }
     }
--- a/kernel/store.c
+++ b/kernel/store.c
@@ -47,7 +47,7 @@
 }
 
 /* Maps the end of an exchange to a result.  A server error may have occurred
- * before or after the write took effect, so it is STORE_LOST. */
+ * before or after the write took effect, so it is STORE_UNKNOWN. */
 static store_result_t
 map_result(http_end_t end, int status)
 {
@@ -55,7 +55,7 @@
         return STORE_REFUSED;
     }
     if (end != HTTP_END_COMPLETE) {
-        return STORE_LOST;
+        return STORE_UNKNOWN;
     }
     switch (status) {
         case 200:
@@ -70,7 +70,7 @@
         case 429:
             return STORE_REFUSED;
         default:
-            return STORE_LOST;
+            return STORE_UNKNOWN;
     }
 }
 
@@ -83,10 +83,10 @@
     }
     *owned = json_loadb(buf_text(body), body->len, 0, NULL);
     if (!json_is_integer(json_object_get(*owned, "version"))) {
-        reply.result = STORE_LOST;
+        reply.result = STORE_UNKNOWN;
         return reply;
     }
-    reply.version = json_int(*owned, "version", 0);
+    reply.version = json_get_int(*owned, "version", 0);
     reply.value = json_object_get(*owned, "value");
     return reply;
 }
--- a/kernel/util.c
+++ b/kernel/util.c
@@ -219,22 +219,22 @@
 
 /* A member's text, or NULL where it is absent or not a string. */
 const char *
-json_text(const json_t *object, const char *key)
+json_get_string(const json_t *object, const char *key)
 {
     return json_string_value(json_object_get(object, key));
 }
 
 /* Whether a member is a string equal to want. */
 bool
-json_text_is(const json_t *object, const char *key, const char *want)
+json_string_equals(const json_t *object, const char *key, const char *want)
 {
-    const char *have = json_text(object, key);
+    const char *have = json_get_string(object, key);
     return have != NULL && strcmp(have, want) == 0;
 }
 
 /* A member's integer, or the fallback if it is absent or not an integer. */
 int64_t
-json_int(const json_t *object, const char *key, int64_t fallback)
+json_get_int(const json_t *object, const char *key, int64_t fallback)
 {
     const json_t *value = json_object_get(object, key);
     return json_is_integer(value) ? json_integer_value(value) : fallback;
@@ -242,7 +242,7 @@
 
 /* Whether a member is present and true. */
 bool
-json_flag(const json_t *object, const char *key)
+json_get_bool(const json_t *object, const char *key)
 {
     return json_is_true(json_object_get(object, key));
 }
--- a/plugins/cmd-explain.c
+++ b/plugins/cmd-explain.c
@@ -39,7 +39,7 @@
     json_t *running = calls_to_json(daemon);
     for (size_t i = json_array_size(running); i > 0; i--) {
         const char *server =
-            json_text(json_array_get(running, i - 1), "backend");
+            json_get_string(json_array_get(running, i - 1), "backend");
         if (server == NULL || strcmp(server, backend->name) != 0) {
             (void)json_array_remove(running, i - 1);
         }
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -383,17 +383,17 @@
     (void)parse_field(line, "status", status, sizeof(status));
     CLEAN_JSON json_t *order =
         text != NULL ? json_loads(text, JSON_DISABLE_EOF_CHECK, NULL) : NULL;
-    int64_t fence = json_int(order, "fencing_token", 0);
-    const char *holder = json_text(order, "holder");
+    int64_t fence = json_get_int(order, "fencing_token", 0);
+    const char *holder = json_get_string(order, "holder");
     char number[32];
     (void)snprintf(number, sizeof(number), "%" PRId64, fence);
-    if (holder == NULL || fence < json_int(fences, server, 0)) {
+    if (holder == NULL || fence < json_get_int(fences, server, 0)) {
         soak_report_violation(soak, "fencing tokens never decrease", "%s",
                               line);
         return;
     }
     (void)json_object_set_new(fences, server, json_integer(fence));
-    const char *known_holder = json_text(holders, number);
+    const char *known_holder = json_get_string(holders, number);
     if (known_holder != NULL && strcmp(known_holder, holder) != 0) {
         soak_report_violation(soak,
                               "a fencing token belongs to one lease holder",
--- a/tests/test-claim.c
+++ b/tests/test-claim.c
@@ -56,7 +56,7 @@
 {
     claim_action_t *action = &exchange->action;
     json_t *object = json_object_get(sim->objects, action->object);
-    int64_t have = json_int(object, "version", 0);
+    int64_t have = json_get_int(object, "version", 0);
     exchange->applied = true;
     if (sim->now_ms < sim->down_until_ms) {
         exchange->reply.result = STORE_REFUSED;
@@ -98,7 +98,7 @@
         record_outcome(sim, won->key, "unknown");
         return;
     }
-    int64_t count = json_int(sim->run_counts, won->key, 0);
+    int64_t count = json_get_int(sim->run_counts, won->key, 0);
     (void)json_object_set_new(sim->run_counts, won->key,
                               json_integer(count + 1));
     if (rng_below(&sim->rng, 12) == 0) {
@@ -145,7 +145,7 @@
     sim_host_t *host = &sim->hosts[exchange->daemon];
     if (host->incarnation == exchange->incarnation) {
         if (exchange->lost) {
-            exchange->reply = (store_reply_t){.result = STORE_LOST};
+            exchange->reply = (store_reply_t){.result = STORE_UNKNOWN};
         }
         exchange->reply.value = exchange->value;
         claim_shard_apply_reply(host->shard, &exchange->reply, sim->now_ms);
@@ -178,7 +178,7 @@
                  host->incarnation == exchange->incarnation) {
             /* The daemon times out; the write may still take effect later.
              */
-            store_reply_t lost = {.result = STORE_LOST};
+            store_reply_t lost = {.result = STORE_UNKNOWN};
             claim_shard_apply_reply(host->shard, &lost, sim->now_ms);
             host->awaiting_reply = false;
             exchange->incarnation = -1;
--- a/tests/test-command.c
+++ b/tests/test-command.c
@@ -39,7 +39,7 @@
     json_array_foreach (json_object_get(context.result, "rows"), i, row) {
         size_t len = strlen(out);
         (void)snprintf(out + len, sizeof(out) - len, "%s",
-                       json_text(row, "name"));
+                       json_get_string(row, "name"));
     }
     json_decref(context.result);
     return out;
@@ -87,10 +87,11 @@
     CLEAN_JSON json_t *fields = command_fields(&context, 0);
     ck_assert(json_is_integer(json_object_get(fields, "a")));
     ck_assert(json_is_true(json_object_get(fields, "b")));
-    ck_assert_str_eq(json_text(fields, "c"), "x");
-    ck_assert_str_eq(json_text(fields, "version"), "2");
+    ck_assert_str_eq(json_get_string(fields, "c"), "x");
+    ck_assert_str_eq(json_get_string(fields, "version"), "2");
     ck_assert_ptr_null(json_object_get(fields, "key"));
-    ck_assert_uint_eq(strlen(json_text(fields, "key_hash")), KEY_HASH_LEN);
+    ck_assert_uint_eq(strlen(json_get_string(fields, "key_hash")),
+                      KEY_HASH_LEN);
     char twice[] = "a=1 a=2";
     command_context_t invalid = split_line(twice);
     ck_assert_ptr_null(command_fields(&invalid, 0));
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -62,7 +62,7 @@
 {
     int64_t generation = 0;
     json_t *doc = config_change_record(sample(), "id-1", "ann", "set model m");
-    ck_assert_int_eq(json_int(doc, "generation", 0), 1);
+    ck_assert_int_eq(json_get_int(doc, "generation", 0), 1);
     ck_assert(config_has_change(doc, "id-1", &generation));
     ck_assert_int_eq(generation, 1);
     ck_assert(!config_has_change(doc, "id-2", &generation));
--- a/tests/test-threads.c
+++ b/tests/test-threads.c
@@ -117,7 +117,7 @@
     }
     ck_assert_uint_eq(pushed, popped);
     CLEAN_JSON json_t *rows = metrics_to_json(shared.metrics);
-    ck_assert_int_eq(json_int(json_array_get(rows, 0), "done", 0),
+    ck_assert_int_eq(json_get_int(json_array_get(rows, 0), "done", 0),
                      THREADS * ROUNDS);
     backend_state_t state;
     (void)view_get(shared.view, 3, &state);
