--- a/Makefile
+++ b/Makefile
@@ -25,8 +25,8 @@
 	@mkdir -p $(dir $@)
 	@$(CC) $(CFLAGS) -MMD -MP -c -o $@ $<
 
-# Plug-ins register themselves in constructors, so the objects are linked
-# whole rather than picked from an archive by need.
+# Plug-ins register themselves in constructors and nothing refers to them: from
+# an archive the linker would omit them, so all objects are linked into one.
 $(BUILD)/libceleryspool.o: $(KERNEL)
 	@$(LD) -r -o $@ $^
 
@@ -43,7 +43,7 @@
 clean:
 	rm -rf build build-asan build-tsan out
 
-# What deploy/system.toml runs: the daemon alone, under target/.
+# Builds the daemon that deploy/system.toml runs, in target/.
 deploy:
 	@$(MAKE) BUILD=target target/celeryspoold
 
@@ -56,7 +56,7 @@
 format-check:
 	clang-format --dry-run --Werror $(SOURCES)
 
-# One clang-tidy a file, all cores at work.
+# Runs clang-tidy once per file, so that make -j runs several at once.
 TIDY := $(patsubst %.c,$(BUILD)/tidy/%.ok,$(filter %.c,$(SOURCES)))
 lint: $(TIDY)
 $(BUILD)/tidy/%.ok: %.c .clang-tidy $(wildcard */*.h)
@@ -74,13 +74,13 @@
 $(BUILD)/soak/soak: $(SOAK) $(BUILD)/libceleryspool.o
 	@$(CC) $(CFLAGS) -o $@ $^ $(LDLIBS)
 
-# Real programs under seeded faults; SEED=n plays one again.
+# Runs the real programs with injected faults; the same SEED=n injects the same.
 SEED ?= 1
 soak: all $(BUILD)/soak/soak
 	@mkdir -p $(OUT)
 	$(BUILD)/soak/soak --seed $(SEED) --build $(BUILD) --dir $(OUT)/soak-$(SEED) $(SOAK_ARGS)
 
-# A short soak, and each seed that ever failed.
+# Runs a short soak, and a soak with each seed that has failed before.
 soak-check: all $(BUILD)/soak/soak
 	@BUILD=$(BUILD) OUT=$(OUT) SEED=$(SEED) bash soak/regress.sh
 
@@ -90,11 +90,11 @@
 threads: $(BUILD)/tests/test-threads
 	$(BUILD)/tests/test-threads
 
-# The tests with real processes, one after the other.
+# Runs the tests with real processes, one after the other.
 procs: all
 	@BUILD=$(BUILD) OUT=$(OUT) TESTS="$(TESTS_RUN)" bash tests/procs.sh
 
-# The protocols as models, searched whole.
+# Checks the models of the protocols exhaustively.
 models:
 	@bash models/check.sh
 
--- a/fakes/fake-load.c
+++ b/fakes/fake-load.c
@@ -69,7 +69,7 @@
     }
 }
 
-/* Figures on the prompts sent after the warm-up. */
+/* Statistics of the prompts sent after the warm-up. */
 typedef struct {
     load_blocks_t *blocks;
     json_t *engines_baseline; /* engine counters at the end of the warm-up */
--- a/fakes/history.h
+++ b/fakes/history.h
@@ -1,7 +1,7 @@
 #ifndef CELERYSPOOL_HISTORY_H
 #define CELERYSPOOL_HISTORY_H
 
-/* Checks of histories: the answers to callers against the recorded executions.
+/* Checks histories: the answers to callers against the recorded executions.
  * Each check takes time linear in the history, returns the number of
  * violations and describes them in problems. */
 
--- a/kernel/base.h
+++ b/kernel/base.h
@@ -41,24 +41,24 @@
 
 int err_set(err_t *err, err_layer_t layer, int code, const char *fmt, ...)
     __attribute__((format(printf, 4, 5)));
-int err_wrap(err_t *err, err_layer_t layer, int code, const char *what);
+int err_wrap(err_t *err, err_layer_t layer, int code, const char *text);
 const char *err_layer_name(err_layer_t layer);
 
 typedef enum { LOG_ERROR, LOG_WARN, LOG_INFO, LOG_DEBUG } log_level_t;
 
 void log_setup(const char *process, log_level_t level);
 void log_setup_records(void);
-int log_level_parse(const char *word);
-void log_record(log_level_t level, const char *part, const char *event,
+int log_level_parse(const char *name);
+void log_record(log_level_t level, const char *component, const char *event,
                 const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 void log_flush(void);
 uint64_t log_dropped_total(void);
-void log_msg(log_level_t level, const char *part, const char *fmt, ...)
+void log_msg(log_level_t level, const char *component, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
-#define log_error(part, ...) log_msg(LOG_ERROR, part, __VA_ARGS__)
-#define log_warn(part, ...) log_msg(LOG_WARN, part, __VA_ARGS__)
-#define log_info(part, ...) log_msg(LOG_INFO, part, __VA_ARGS__)
-#define log_debug(part, ...) log_msg(LOG_DEBUG, part, __VA_ARGS__)
+#define log_error(component, ...) log_msg(LOG_ERROR, component, __VA_ARGS__)
+#define log_warn(component, ...) log_msg(LOG_WARN, component, __VA_ARGS__)
+#define log_info(component, ...) log_msg(LOG_INFO, component, __VA_ARGS__)
+#define log_debug(component, ...) log_msg(LOG_DEBUG, component, __VA_ARGS__)
 
 /* One line of the event log; NULL and empty strings are omitted. */
 typedef struct {
@@ -131,7 +131,7 @@
 
 const char *json_get_string(const json_t *object, const char *key);
 bool json_string_equals(const json_t *object, const char *key,
-                        const char *want);
+                        const char *expected);
 int64_t json_get_int(const json_t *object, const char *key, int64_t fallback);
 bool json_get_bool(const json_t *object, const char *key);
 
--- a/kernel/claim.h
+++ b/kernel/claim.h
@@ -12,11 +12,11 @@
 #include <ck_queue.h>
 
 #define CLAIM_KEY_LEN 32
-#define CLAIM_CHUNK_ENTRIES 256
-#define CLAIM_BODY_MAX 1024 /* bytes of a response kept for repeats */
+#define CLAIM_CHUNK_ENTRIES 256 /* a head with so many is sealed */
+#define CLAIM_BODY_MAX 1024     /* bytes of a response kept for repeats */
 #define CLAIM_RETENTION_MS (24LL * 3600 * 1000)
-#define CLAIM_RECORD_DELAY_MS 50 /* lets outcomes share one write */
-#define CLAIM_RETRY_MS 200 /* of outcomes, while the store is unavailable */
+#define CLAIM_RECORD_DELAY_MS 50 /* so that outcomes share one write */
+#define CLAIM_RETRY_MS 200 /* for outcomes, while the store is unavailable */
 
 typedef enum {
     CLAIM_OP_CLAIM,
@@ -27,10 +27,10 @@
 typedef enum {
     CLAIM_PENDING,
     CLAIM_WON,         /* this token alone may send */
-    CLAIM_TAKEN,       /* by another token, its outcome is not known */
+    CLAIM_TAKEN,       /* claimed by another token, outcome unknown */
     CLAIM_DONE,        /* it ran; status and body are its response */
-    CLAIM_UNAVAILABLE, /* deadline or no store; nothing may be sent */
-    CLAIM_RECORDED     /* an outcome is in the log, or need not be */
+    CLAIM_UNAVAILABLE, /* timeout or no store; nothing may be sent */
+    CLAIM_RECORDED     /* the outcome is in the log, or need not be */
 } claim_state_t;
 
 typedef struct claim_op {
@@ -38,12 +38,13 @@
     claim_op_kind_t kind;
     char key[CLAIM_KEY_LEN + 1];
     char token[CS_ID_LEN + 1];
-    int status; /* of CLAIM_OP_DONE; set when a claim ends as CLAIM_DONE */
-    char *body; /* of the response, like status; owned */
+    int status; /* of the response; input of CLAIM_OP_DONE, result of a claim
+                   that ends as CLAIM_DONE */
+    char *body; /* of the same response; NULL if not kept; owned */
     int64_t deadline_ms;
     int64_t not_before_ms; /* earliest write, so that operations share one */
-    uint64_t head_reads_at_submit; /* head_reads of the shard */
-    bool may_be_written;           /* a write of it may have taken effect */
+    uint64_t head_reads_at_submit; /* how often the shard had read its head */
+    bool may_be_written; /* a write of this entry may have taken effect */
     claim_state_t state;
     void (*on_done)(struct claim_op *op, void *arg); /* NULL: not called */
     void *arg;
--- a/kernel/command.c
+++ b/kernel/command.c
@@ -186,12 +186,13 @@
 int
 command_commit(command_context_t *context, const change_t *change)
 {
-    char what[200];
-    (void)snprintf(what, sizeof(what), "%s %s %s", context->words[0],
-                   change->section, change->name == NULL ? "" : change->name);
+    char description[200];
+    (void)snprintf(description, sizeof(description), "%s %s %s",
+                   context->words[0], change->section,
+                   change->name == NULL ? "" : change->name);
     return config_sync_commit(context->daemon, change, context->operator_name,
-                              what, context->if_generation, &context->result,
-                              &context->err);
+                              description, context->if_generation,
+                              &context->result, &context->err);
 }
 
 static json_t *
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -239,13 +239,13 @@
  * could not be read again.  Blocks. */
 int
 config_sync_commit(celeryspoold_t *daemon, const change_t *change,
-                   const char *who, const char *what, int64_t if_generation,
-                   json_t **result, err_t *err)
+                   const char *operator_name, const char *description,
+                   int64_t if_generation, json_t **result, err_t *err)
 {
     commit_t commit = {.daemon = daemon,
                        .change = change,
-                       .operator_name = who,
-                       .description = what,
+                       .operator_name = operator_name,
+                       .description = description,
                        .if_generation = if_generation};
     commit_outcome_t outcome = COMMIT_RETRY;
     id_random(commit.id);
@@ -259,7 +259,8 @@
     switch (outcome) {
         case COMMIT_ACCEPTED:
             *result = accepted_result(&commit);
-            log_info("audit", "%s: %s, generation %lld to %lld.", who, what,
+            log_info("audit", "%s: %s, generation %lld to %lld.",
+                     operator_name, description,
                      (long long)commit.generation - 1,
                      (long long)commit.generation);
             return 0;
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -138,8 +138,8 @@
     }
 }
 
-/* Start draining: the daemon reports not ready, so that the load balancer
- * stops sending requests; those that still arrive are served. */
+/* Start draining: the daemon reports that it is not ready, so that the load
+ * balancer stops sending requests; those that still arrive are served. */
 static void
 start_draining(celeryspoold_t *daemon)
 {
@@ -183,7 +183,7 @@
 }
 
 static void *
-ticker_run(void *arg)
+tick_run(void *arg)
 {
     celeryspoold_t *daemon = arg;
     unsigned tick = 0;
@@ -219,7 +219,7 @@
         return err_wrap(err, ERR_SETTINGS, 0, "cannot start the peer service");
     }
     snapshot_warm_up(daemon);
-    (void)pthread_create(&daemon->tick_thread, NULL, ticker_run, daemon);
+    (void)pthread_create(&daemon->tick_thread, NULL, tick_run, daemon);
     (void)pthread_create(&daemon->feed_thread, NULL, feed_run, daemon);
     (void)pthread_create(&daemon->config_thread, NULL, config_sync_run,
                          daemon);
--- a/kernel/err.c
+++ b/kernel/err.c
@@ -19,17 +19,17 @@
     return -1;
 }
 
-/* Wrap an error of a lower layer: the new text is what failed in this layer,
- * followed by the text of the lower error.  Returns -1. */
+/* Wrap an error of a lower layer: the new text is the given one, which says
+ * what failed in this layer, and the text of the lower error.  Returns -1. */
 int
-err_wrap(err_t *err, err_layer_t layer, int code, const char *what)
+err_wrap(err_t *err, err_layer_t layer, int code, const char *text)
 {
     if (err == NULL) {
         return -1;
     }
     char cause[sizeof(err->text)];
     memcpy(cause, err->text, sizeof(cause));
-    return err_set(err, layer, code, "%.100s: %.200s", what, cause);
+    return err_set(err, layer, code, "%.100s: %.200s", text, cause);
 }
 
 /* The name of a layer in responses and logs. */
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -7,7 +7,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Lines on standard error, or records on standard output.  Records are
+/* Writes lines to standard error or records to standard output.  Records are
  * buffered and written by log_flush without blocking: if the reader stalls and
  * the buffer fills, records are dropped and counted, and no request waits. */
 
@@ -16,7 +16,7 @@
 /* Bytes of records per second: 20 requests a second write about 8 KB.  In a
  * burst info and debug records are dropped first. */
 #define BYTES_PER_S_MAX (96 * 1024)
-/* The part of it reserved for warnings and errors. */
+/* The part of BYTES_PER_S_MAX that is reserved for warnings and errors. */
 #define RESERVED_BYTES_PER_S (32 * 1024)
 
 static pthread_mutex_t log_lock = PTHREAD_MUTEX_INITIALIZER;
@@ -28,7 +28,7 @@
 static buf_t log_pending;
 static int64_t log_rate_second;
 static size_t log_rate_bytes;
-static uint64_t log_dropped; /* since the last left-out record */
+static uint64_t log_dropped; /* since the number was last reported */
 static uint64_t log_dropped_since_start;
 
 /* Set the process name and the least severe level that is written. */
@@ -50,10 +50,10 @@
 
 /* The level with this name, or -1. */
 int
-log_level_parse(const char *word)
+log_level_parse(const char *name)
 {
     for (int i = 0; i < 4; i++) {
-        if (strcmp(word, log_level_names[i]) == 0) {
+        if (strcmp(name, log_level_names[i]) == 0) {
             return i;
         }
     }
@@ -82,7 +82,7 @@
 }
 
 static void
-record_add(log_level_t level, const char *part, const char *event,
+record_add(log_level_t level, const char *component, const char *event,
            const char *text)
 {
     char line[1400];
@@ -90,7 +90,7 @@
     int len = snprintf(line, sizeof(line),
                        "t=%lld level=%s host=%s part=%s event=%s %s\n",
                        (long long)now, log_level_names[level], log_process,
-                       part, event, text);
+                       component, event, text);
     if (len >= (int)sizeof(line)) {
         len = (int)sizeof(line) - 1;
         line[len - 1] = '\n';
@@ -101,10 +101,10 @@
     }
 }
 
-/* Write one record: time, level, host, part and event, then the fields of the
- * event as name=value. */
+/* Write one record: time, level, host, component and event, then the fields of
+ * the event as name=value. */
 void
-log_record(log_level_t level, const char *part, const char *event,
+log_record(log_level_t level, const char *component, const char *event,
            const char *fmt, ...)
 {
     if (level > log_threshold) {
@@ -115,7 +115,7 @@
     va_start(args, fmt);
     (void)vsnprintf(text, sizeof(text), fmt, args);
     va_end(args);
-    record_add(level, part, event, text);
+    record_add(level, component, event, text);
 }
 
 /* The number of records dropped since the process started. */
@@ -153,7 +153,7 @@
 }
 
 static void
-line_write(log_level_t level, const char *part, const char *text)
+line_write(log_level_t level, const char *component, const char *text)
 {
     int64_t now = time_wall_ms();
     time_t seconds = (time_t)(now / 1000);
@@ -164,13 +164,13 @@
 
     LOCK_SCOPE(&log_lock);
     (void)fprintf(stderr, "%s.%03dZ %s %s %s: %s\n", stamp, (int)(now % 1000),
-                  log_level_names[level], log_process, part, text);
+                  log_level_names[level], log_process, component, text);
 }
 
 /* Write a message: one line on standard error with time, level, process and
- * part, or a record with the message as its text field. */
+ * component, or a record with the message as its text field. */
 void
-log_msg(log_level_t level, const char *part, const char *fmt, ...)
+log_msg(log_level_t level, const char *component, const char *fmt, ...)
 {
     if (level > log_threshold) {
         return;
@@ -181,10 +181,10 @@
     (void)vsnprintf(text, sizeof(text), fmt, args);
     va_end(args);
     if (!log_records) {
-        line_write(level, part, text);
+        line_write(level, component, text);
         return;
     }
     char quoted[1100];
     (void)snprintf(quoted, sizeof(quoted), "text=\"%s\"", text);
-    record_add(level, part, "note", quoted);
+    record_add(level, component, "note", quoted);
 }
--- a/kernel/members-round.c
+++ b/kernel/members-round.c
@@ -115,11 +115,11 @@
 random_node(members_t *members, member_health_t health)
 {
     member_node_t *found = NULL;
-    uint64_t seen = 0;
+    uint64_t candidate_count = 0;
     member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
         if (node->member.health == health &&
-            rng_below(&members->rng, ++seen) == 0) {
+            rng_below(&members->rng, ++candidate_count) == 0) {
             found = node;
         }
     }
--- a/kernel/metrics.c
+++ b/kernel/metrics.c
@@ -87,9 +87,9 @@
 histogram_add(histogram_t *histogram, int64_t us)
 {
     unsigned bucket = 0;
-    double bound = BUCKET_UNIT_US;
-    while (bucket < HISTOGRAM_BUCKETS - 1 && (double)us > bound) {
-        bound *= 2;
+    double bound_us = BUCKET_UNIT_US;
+    while (bucket < HISTOGRAM_BUCKETS - 1 && (double)us > bound_us) {
+        bound_us *= 2;
         bucket++;
     }
     ck_pr_inc_64(&histogram->buckets[bucket]);
@@ -102,16 +102,16 @@
 histogram_quantile(const histogram_t *histogram, double quantile)
 {
     double rank = quantile * (double)histogram->count;
-    double bound = BUCKET_UNIT_US;
-    uint64_t seen = 0;
+    double bound_us = BUCKET_UNIT_US;
+    uint64_t cumulative = 0;
     for (unsigned i = 0; i < HISTOGRAM_BUCKETS; i++) {
-        seen += histogram->buckets[i];
-        if (seen > 0 && (double)seen >= rank) {
+        cumulative += histogram->buckets[i];
+        if (cumulative > 0 && (double)cumulative >= rank) {
             break;
         }
-        bound *= 2;
+        bound_us *= 2;
     }
-    return bound / 1000;
+    return bound_us / 1000;
 }
 
 void
@@ -132,15 +132,15 @@
     const histogram_t *histogram = &series->histograms[which];
     const char *name = histogram_names[which];
     uint64_t sum = 0;
-    double bound = BUCKET_UNIT_US;
+    double bound_us = BUCKET_UNIT_US;
     for (unsigned i = 0; i < HISTOGRAM_BUCKETS; i++) {
         sum += histogram->buckets[i];
         buf_fmt(out,
                 "celeryspool_%s_bucket{workspace=\"%s\",target=\"%s\","
                 "le=\"%g\"} %llu\n",
-                name, series->workspace, series->target, bound / 1e6,
+                name, series->workspace, series->target, bound_us / 1e6,
                 (unsigned long long)sum);
-        bound *= 2;
+        bound_us *= 2;
     }
     buf_fmt(out, "celeryspool_%s_sum{workspace=\"%s\",target=\"%s\"} %g\n",
             name, series->workspace, series->target,
--- a/kernel/peer-codec.h
+++ b/kernel/peer-codec.h
@@ -1,8 +1,8 @@
 #ifndef CELERYSPOOL_PEER_CODEC_H
 #define CELERYSPOOL_PEER_CODEC_H
 
-/* The datagrams between daemons: msgpack behind a message authentication code
- * keyed with the shared secret. */
+/* The datagrams between daemons: a message authentication code, keyed with the
+ * shared secret, followed by msgpack. */
 
 #include "tables.h"
 
@@ -10,10 +10,10 @@
 #define PEER_FACTS_MAX 64
 #define PEER_MAC_BYTES 16
 
-/* Workspaces in one datagram of usages. */
+/* Workspaces in one PEER_USAGES datagram. */
 #define PEER_USAGES_MAX 256
 
-/* Servers in one datagram of loads. */
+/* Servers in one PEER_LOADS datagram. */
 #define PEER_LOADS_MAX 256
 
 typedef enum {
@@ -31,7 +31,7 @@
     uint64_t key;
     uint32_t prefix_tokens; /* of the prompt up to the end of this part */
     uint32_t part_tokens;   /* of this part alone, 0 if unknown */
-    bool held;              /* false: evicted */
+    bool held;              /* the server holds the entry; false: evicted */
 } peer_fact_t;
 
 /* Units of a workspace's limit that the sender has spent. */
@@ -44,15 +44,15 @@
 
 /* The load that the sender puts on a server. */
 typedef struct {
-    uint32_t server_hash;    /* of its id */
-    uint32_t prefill_tokens; /* of its requests, not prefilled yet */
-    uint32_t running;
-    uint32_t unshared_tokens; /* of prompt parts that are not shared, as put
-                                 into its cache; cumulative, wraps */
-    uint32_t sent_tokens;     /* to prefill; cumulative, wraps */
+    uint32_t server_hash;     /* of its id */
+    uint32_t prefill_tokens;  /* still to prefill for the sender's requests */
+    uint32_t running;         /* requests of the sender */
+    uint32_t unshared_tokens; /* of unshared prompt parts added to the cache;
+                                 cumulative, wraps */
+    uint32_t sent_tokens;     /* sent to prefill; cumulative, wraps */
 } peer_load_t;
 
-/* Only the union member of its kind is valid. */
+/* Of the union, only the member for the kind is valid. */
 typedef struct {
     peer_kind_t kind;
     union {
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -9,8 +9,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Communication between daemons: UDP datagrams for membership and facts, and
- * framed requests and replies over TCP for larger documents.  A frame is four
+/* Communication between daemons: UDP datagrams for membership and for facts
+ * (load reports and cache changes of backend servers), and framed requests and
+ * replies over TCP for larger documents.  A frame is four
  * bytes of length, most significant first, and a msgpack array [kind, text].
  */
 
@@ -25,7 +26,7 @@
     bool stop;
     pthread_t receive_thread;
     pthread_t accept_thread;
-    pthread_mutex_t lock; /* over pending_facts; a leaf lock */
+    pthread_mutex_t lock; /* guards pending_facts; a leaf lock */
     peer_datagram_t pending_facts;
     int64_t next_tick_ms;
     uint64_t bytes_sent;
@@ -327,7 +328,7 @@
 /* Requests a document from a peer: "config", "snapshot" or "requests".
  * Returns NULL, with an error if the peer cannot be reached. */
 json_t *
-peer_fetch(const char *addr, const char *what, int timeout_ms, err_t *err)
+peer_fetch(const char *addr, const char *document, int timeout_ms, err_t *err)
 {
     struct sockaddr_in endpoint;
     char kind[32];
@@ -340,7 +341,7 @@
     set_timeouts(fd, timeout_ms);
     int failed =
         connect(fd, (struct sockaddr *)&endpoint, sizeof(endpoint)) != 0 ||
-        send_frame(fd, what, "") != 0 ||
+        send_frame(fd, document, "") != 0 ||
         receive_frame(fd, kind, sizeof(kind), &text) != 0;
     (void)close(fd);
     if (failed) {
@@ -404,7 +405,7 @@
     add_fact(peer, &fact);
 }
 
-/* Queues that a server holds a level in its cache, or no longer does. */
+/* Queues a cache change: a server now holds a level, or no longer does. */
 void
 peer_announce_cached(peer_t *peer, const char *backend, uint64_t key,
                      uint32_t tokens, bool held)
--- a/kernel/store.h
+++ b/kernel/store.h
@@ -12,14 +12,15 @@
     STORE_OK,
     STORE_ABSENT,   /* no such object, or a watch that timed out */
     STORE_CONFLICT, /* the object has another version than expected */
-    STORE_REFUSED,  /* no effect: unreachable, invalid, or rate limited */
-    STORE_UNKNOWN   /* effect unknown: broken off, timeout, server error */
+    STORE_REFUSED,  /* no effect: unreachable, invalid or rate limited */
+    STORE_UNKNOWN   /* effect unknown: connection broken, timeout, server error
+                     */
 } store_result_t;
 
 typedef struct {
     store_result_t result;
     int64_t version;
-    json_t *value; /* of a read; borrowed, released after the callback */
+    json_t *value; /* result of a read; valid only during the callback */
 } store_reply_t;
 
 typedef void (*store_callback_t)(void *arg, const store_reply_t *reply);
--- a/kernel/util.c
+++ b/kernel/util.c
@@ -217,19 +217,19 @@
     (void)pthread_mutex_unlock(*lock);
 }
 
-/* A member's text, or NULL where it is absent or not a string. */
+/* A member's string, or NULL if it is absent or not a string. */
 const char *
 json_get_string(const json_t *object, const char *key)
 {
     return json_string_value(json_object_get(object, key));
 }
 
-/* Whether a member is a string equal to want. */
+/* Whether a member is a string equal to the expected one. */
 bool
-json_string_equals(const json_t *object, const char *key, const char *want)
+json_string_equals(const json_t *object, const char *key, const char *expected)
 {
-    const char *have = json_get_string(object, key);
-    return have != NULL && strcmp(have, want) == 0;
+    const char *value = json_get_string(object, key);
+    return value != NULL && strcmp(value, expected) == 0;
 }
 
 /* A member's integer, or the fallback if it is absent or not an integer. */
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -281,7 +281,7 @@
 {
     static fleet_t fleet;
     const size_t count = 100;
-    bool taken[100] = {false};
+    bool rank_assigned[100] = {false};
     fleet_start(&fleet, count);
     (void)ticks_to_discover_all(&fleet);
     for (int i = 0; i < 60; i++) {
@@ -290,8 +290,8 @@
     for (size_t i = 0; i < count; i++) {
         size_t rank = members_duty_rank(fleet.tables[i], "orders");
         ck_assert_uint_lt(rank, count);
-        ck_assert(!taken[rank]);
-        taken[rank] = true;
+        ck_assert(!rank_assigned[rank]);
+        rank_assigned[rank] = true;
     }
     fleet_stop(&fleet);
 }
