--- a/daemons/celeryspool-timeline.c
+++ b/daemons/celeryspool-timeline.c
@@ -147,10 +147,10 @@
 }
 
 static bool
-field_is(const json_t *event, const char *key, const char *want)
+field_is(const json_t *event, const char *key, const char *expected)
 {
-    const char *have = json_get_string(event, key);
-    return want == NULL || (have != NULL && strcmp(have, want) == 0);
+    const char *value = json_get_string(event, key);
+    return expected == NULL || (value != NULL && strcmp(value, expected) == 0);
 }
 
 static bool
@@ -178,18 +178,19 @@
         (void)printf("%s\n", line);
         return;
     }
-    long long at = (long long)(json_get_int(event, "t", 0) - first_ms);
+    long long offset_ms = (long long)(json_get_int(event, "t", 0) - first_ms);
     if (args->columns) {
-        (void)printf("%8lld  %*s* %s %s %s\n", at, column * 4, "",
+        (void)printf("%8lld  %*s* %s %s %s\n", offset_ms, column * 4, "",
                      text_or_empty(event, "kind"),
                      text_or_empty(event, "backend"),
                      text_or_empty(event, "detail"));
         return;
     }
-    (void)printf(
-        "%8lld  %-12s %-14s %-33s %-12s %s\n", at, text_or_empty(event, "p"),
-        text_or_empty(event, "kind"), text_or_empty(event, "request"),
-        text_or_empty(event, "backend"), text_or_empty(event, "detail"));
+    (void)printf("%8lld  %-12s %-14s %-33s %-12s %s\n", offset_ms,
+                 text_or_empty(event, "p"), text_or_empty(event, "kind"),
+                 text_or_empty(event, "request"),
+                 text_or_empty(event, "backend"),
+                 text_or_empty(event, "detail"));
 }
 
 static void
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -87,13 +87,13 @@
 static void
 seq_lookup_prefix(engine_t *engine, seq_t *seq)
 {
-    size_t held = 0;
-    while (held < seq->block_count &&
-           engine_cache_lookup(engine->cache, seq->blocks[held])) {
-        held++;
+    size_t cached_count = 0;
+    while (cached_count < seq->block_count &&
+           engine_cache_lookup(engine->cache, seq->blocks[cached_count])) {
+        cached_count++;
     }
-    seq->cached_block_count = held;
-    seq->cached_tokens = (uint32_t)(held * PREFIX_BLOCK_TOKENS);
+    seq->cached_block_count = cached_count;
+    seq->cached_tokens = (uint32_t)(cached_count * PREFIX_BLOCK_TOKENS);
     seq->prefill_remaining = (double)(seq->prompt_tokens - seq->cached_tokens);
     engine->tokens_cached += seq->cached_tokens;
     engine->tokens_prefilled += seq->prompt_tokens - seq->cached_tokens;
@@ -120,9 +120,9 @@
     }
     const char *text =
         json_get_string(json_array_get(messages, count - 1), "content");
-    uint32_t done = answer_count_tokens(text == NULL ? "" : text);
+    uint32_t token_count = answer_count_tokens(text == NULL ? "" : text);
     (void)json_array_remove(messages, count - 1);
-    return done;
+    return token_count;
 }
 
 /* Admits a chat request; it is queued until a slot is free. */
@@ -135,20 +135,20 @@
         (void)err_set(err, ERR_HTTP, 400, "messages is not a list");
         return NULL;
     }
-    CLEAN_BUF buf_t full = {0};
-    prefix_render(messages, &full);
-    uint32_t done = remove_continued_message(messages, body);
+    CLEAN_BUF buf_t full_prompt = {0};
+    prefix_render(messages, &full_prompt);
+    uint32_t continued_tokens = remove_continued_message(messages, body);
     CLEAN_BUF buf_t prompt = {0};
     prefix_render(messages, &prompt);
 
     const char *salt = json_get_string(body, "cache_salt");
     const char *id = json_get_string(body, "request_id");
     seq_t *seq = mem_zalloc(sizeof(*seq));
-    seq_compute_blocks(engine, seq, &full, salt == NULL ? "" : salt);
+    seq_compute_blocks(engine, seq, &full_prompt, salt == NULL ? "" : salt);
     seq->seed = answer_seed(buf_text(&prompt), prompt.len, engine->version);
     seq->max_tokens =
         (uint32_t)json_get_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
-    seq->emitted = done;
+    seq->emitted = continued_tokens;
     seq->priority = (int)json_get_int(body, "priority", 0);
     seq->stream = json_get_bool(body, "stream");
     seq->arrival = engine->next_arrival++;
@@ -295,10 +295,10 @@
             started++;
             seq_lookup_prefix(engine, seq);
         }
-        double take =
+        double prefilled =
             seq->prefill_remaining < budget ? seq->prefill_remaining : budget;
-        seq->prefill_remaining -= take;
-        budget -= take;
+        seq->prefill_remaining -= prefilled;
+        budget -= prefilled;
         if (seq->prefill_remaining <= 0) {
             seq_store_blocks(engine, seq);
         }
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -16,7 +16,8 @@
 handle_chat(engine_t *engine, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    const char *want = body == NULL ? NULL : json_get_string(body, "version");
+    const char *requested_version =
+        body == NULL ? NULL : json_get_string(body, "version");
     err_t err = {0};
     if (engine->loading[0] != '\0') {
         add_identity(engine, req);
@@ -24,7 +25,8 @@
                              engine->loading);
         return;
     }
-    if (want != NULL && strcmp(want, engine->version) != 0) {
+    if (requested_version != NULL &&
+        strcmp(requested_version, engine->version) != 0) {
         add_identity(engine, req);
         http_req_reply_error(req, 409, "other_version", "%s is loaded",
                              engine->version);
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -78,15 +78,15 @@
         store->writes_this_second = 0;
         store->reads_this_second = 0;
     }
-    unsigned *now =
+    unsigned *count =
         write ? &store->writes_this_second : &store->reads_this_second;
     unsigned *peak = write ? &store->writes_peak : &store->reads_peak;
     unsigned max = write ? store->writes_per_s_max : store->reads_per_s_max;
     *(write ? &store->writes : &store->reads) += 1;
-    *now += 1;
-    *peak = *now > *peak ? *now : *peak;
-    store->rejected += *now > max;
-    return *now <= max;
+    *count += 1;
+    *peak = *count > *peak ? *count : *peak;
+    store->rejected += *count > max;
+    return *count <= max;
 }
 
 static void
@@ -236,7 +236,7 @@
 }
 
 static void
-handle_now(store_t *store, http_req_t *req)
+handle_request(store_t *store, http_req_t *req)
 {
     const char *path = http_req_path(req);
     if (strncmp(path, OBJECTS_PATH, strlen(OBJECTS_PATH)) == 0) {
@@ -262,7 +262,7 @@
     store_t *store = arg;
     LOCK_SCOPE(&store->lock);
     if (store->delay_ms == 0 || strcmp(http_req_path(req), "/control") == 0) {
-        handle_now(store, req);
+        handle_request(store, req);
         return;
     }
     /* When slow, each request but /control waits here and is handled, with
@@ -296,7 +296,7 @@
         if (now < delayed->due_ms && !fake_store_stop) {
             continue;
         }
-        handle_now(store, delayed->req);
+        handle_request(store, delayed->req);
         http_req_release(delayed->req);
         CK_LIST_REMOVE(delayed, entry);
         free(delayed);
--- a/fakes/load.h
+++ b/fakes/load.h
@@ -14,7 +14,7 @@
 typedef struct {
     char targets[LOAD_TARGETS_MAX][CS_ADDR_MAX];
     unsigned target_count;
-    char engines[LOAD_TARGETS_MAX][CS_ADDR_MAX]; /* whose /truth is read */
+    char engines[LOAD_TARGETS_MAX][CS_ADDR_MAX]; /* to read /truth from */
     unsigned engine_count;
     double warmup_s; /* start of the total and per-workspace figures */
     char model[CS_NAME_MAX];
--- a/fakes/platform.h
+++ b/fakes/platform.h
@@ -62,7 +62,7 @@
     MODE_RESET,  /* executes, then closes without an answer */
     MODE_SILENT, /* executes, and never answers */
     MODE_CUT,    /* closes in the middle of its stream */
-    MODE_FOREIGN /* answers another request's id first, then its own */
+    MODE_FOREIGN /* sends another request's answer before its own */
 } server_mode_t;
 
 typedef struct platform_server {
@@ -80,8 +80,8 @@
     server_mode_t mode;
     int64_t version;
     json_t *cached_parts;       /* of an engine: salt/id -> part */
-    json_t *cache_events;       /* cache events, oldest first */
-    int64_t newest_cache_event; /* number of the newest one */
+    json_t *cache_events;       /* oldest first */
+    int64_t newest_cache_event; /* number of the newest cache event */
     int64_t order_count;
     int64_t fencing_token;
     bool loading;
@@ -103,7 +103,7 @@
                                FILE *record);
 int server_command(platform_server_t *server, const json_t *command);
 
-/* ---- helpers of both ---- */
+/* ---- helpers for the store and the servers ---- */
 void answer_json(struct evhttp_request *req, int status, const json_t *body);
 json_t *parse_body(struct evhttp_request *req);
 const char *find_header(struct evhttp_request *req, const char *name);
--- a/kernel/claim-log.c
+++ b/kernel/claim-log.c
@@ -105,9 +105,10 @@
 void
 claim_log_submit(claim_log_t *log, claim_op_t *op)
 {
-    char key_head[9] = {0};
-    memcpy(key_head, op->key, 8);
-    shard_slot_t *slot = &log->slots[strtoul(key_head, NULL, 16) % log->count];
+    char key_prefix[9] = {0};
+    memcpy(key_prefix, op->key, 8);
+    shard_slot_t *slot =
+        &log->slots[strtoul(key_prefix, NULL, 16) % log->count];
     (void)pthread_mutex_lock(&slot->lock);
     claim_shard_submit(slot->shard, op);
     (void)pthread_mutex_unlock(&slot->lock);
--- a/kernel/command-query.c
+++ b/kernel/command-query.c
@@ -180,8 +180,8 @@
     return 0;
 }
 
-/* Apply the clauses from a word on to the rows and set them as the result.  On
- * failure the rows are freed. */
+/* Apply the clauses that start at a word to the rows, which become the result.
+ * On failure the rows are freed. */
 int
 command_query_apply(command_context_t *context, size_t from, json_t **rows)
 {
--- a/kernel/config-change.c
+++ b/kernel/config-change.c
@@ -160,8 +160,8 @@
     }
 }
 
-/* List the requests that maintenance windows would interrupt or reject, as
- * warnings to the operator who declares the windows. */
+/* Add a warning for each maintenance window that would interrupt running
+ * requests or leave a model or service without an available server. */
 void
 config_list_warnings(const config_t *config, int64_t now_ms, json_t *warnings)
 {
--- a/kernel/config.c
+++ b/kernel/config.c
@@ -318,12 +318,12 @@
 {
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
-        bool known =
+        bool is_declared =
             backend->kind == BACKEND_UNROUTED ||
             (backend->kind == BACKEND_ENGINE
                  ? config_find_model(config, backend->serves) != NULL
                  : config_find_service(config, backend->serves) != NULL);
-        if (!known) {
+        if (!is_declared) {
             return err_set(err, ERR_CONFIG, 400,
                            "backends %s: serves %s, which is not declared",
                            backend->name, backend->serves);
@@ -495,14 +495,14 @@
     }
     for (size_t i = 0; i < config->window_count; i++) {
         const window_t *window = &config->windows[i];
-        int64_t lead = config_window_lead_ms(config, backend);
+        int64_t lead_ms = config_window_lead_ms(config, backend);
         if (!window_covers(window, backend) || now_ms >= window->end_ms) {
             continue;
         }
         if (now_ms >= window->begin_ms) {
             return AVAILABILITY_IN_WINDOW;
         }
-        if (now_ms >= window->begin_ms - lead) {
+        if (now_ms >= window->begin_ms - lead_ms) {
             return AVAILABILITY_WINDOW_NEAR;
         }
     }
@@ -548,7 +548,7 @@
 const char *
 availability_name(availability_t availability)
 {
-    static const char *const words[] = {"open", "drained", "window-near",
+    static const char *const names[] = {"open", "drained", "window-near",
                                         "window"};
-    return words[availability];
+    return names[availability];
 }
--- a/kernel/event.c
+++ b/kernel/event.c
@@ -72,13 +72,13 @@
 }
 
 static bool
-event_matches(const json_t *line, const char *key, const char *want)
+event_matches(const json_t *line, const char *key, const char *expected)
 {
-    if (want == NULL || want[0] == '\0') {
+    if (expected == NULL || expected[0] == '\0') {
         return true;
     }
-    const char *have = json_get_string(line, key);
-    return have != NULL && strcmp(have, want) == 0;
+    const char *value = json_get_string(line, key);
+    return value != NULL && strcmp(value, expected) == 0;
 }
 
 /* The most recent events, oldest first, of one request and one backend server;
--- a/kernel/members.c
+++ b/kernel/members.c
@@ -104,14 +104,14 @@
 {
     LOCK_SCOPE(&members->lock);
     uint64_t key = str_hash(duty, 0);
-    uint64_t mine = place_rendezvous_weight(key, members->self.name);
+    uint64_t own_weight = place_rendezvous_weight(key, members->self.name);
     member_node_t *node;
     if (members->self.intent == MEMBER_LEAVING) {
         return false;
     }
     CK_LIST_FOREACH (node, &members->list, entry) {
         if (can_hold_duties(&node->member) &&
-            place_rendezvous_weight(key, node->member.name) > mine) {
+            place_rendezvous_weight(key, node->member.name) > own_weight) {
             return false;
         }
     }
@@ -125,14 +125,14 @@
 {
     LOCK_SCOPE(&members->lock);
     uint64_t key = str_hash(duty, 0);
-    uint64_t mine = place_rendezvous_weight(key, members->self.name);
-    size_t before = 0;
+    uint64_t own_weight = place_rendezvous_weight(key, members->self.name);
+    size_t rank = 0;
     const member_node_t *node;
     CK_LIST_FOREACH (node, &members->list, entry) {
-        before += can_hold_duties(&node->member) &&
-                  place_rendezvous_weight(key, node->member.name) > mine;
+        rank += can_hold_duties(&node->member) &&
+                place_rendezvous_weight(key, node->member.name) > own_weight;
     }
-    return before;
+    return rank;
 }
 
 /* Inserts a member into a list ordered by weight, highest first, that keeps
--- a/kernel/metrics.h
+++ b/kernel/metrics.h
@@ -7,8 +7,8 @@
 
 #define HISTOGRAM_BUCKETS 28
 
-/* Bucket i counts the values up to 2^i / 16 ms that no smaller bucket counts;
- * the last one also counts all larger values. */
+/* Bucket i counts the values up to 2^i / 16 ms that exceed the bound of bucket
+ * i - 1; the last one also counts all larger values. */
 typedef struct {
     uint64_t buckets[HISTOGRAM_BUCKETS];
     uint64_t count;
--- a/kernel/util.c
+++ b/kernel/util.c
@@ -151,16 +151,16 @@
 utf8_sequence_len(const unsigned char *data, size_t len)
 {
     unsigned char lead = data[0];
-    size_t want = lead < 0x80   ? 1
-                  : lead < 0xc2 ? 0
-                  : lead < 0xe0 ? 2
-                  : lead < 0xf0 ? 3
-                  : lead < 0xf5 ? 4
-                                : 0;
-    if (want == 0 || want > len) {
+    size_t sequence_len = lead < 0x80   ? 1
+                          : lead < 0xc2 ? 0
+                          : lead < 0xe0 ? 2
+                          : lead < 0xf0 ? 3
+                          : lead < 0xf5 ? 4
+                                        : 0;
+    if (sequence_len == 0 || sequence_len > len) {
         return 0;
     }
-    for (size_t i = 1; i < want; i++) {
+    for (size_t i = 1; i < sequence_len; i++) {
         if ((data[i] & 0xc0) != 0x80) {
             return 0;
         }
@@ -169,7 +169,7 @@
         (lead == 0xe0 && data[1] < 0xa0) || (lead == 0xf0 && data[1] < 0x90);
     bool out_of_range =
         (lead == 0xed && data[1] > 0x9f) || (lead == 0xf4 && data[1] > 0x8f);
-    return overlong || out_of_range ? 0 : want;
+    return overlong || out_of_range ? 0 : sequence_len;
 }
 
 /* Whether the bytes are well-formed UTF-8 (RFC 3629). */
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -71,8 +71,8 @@
 END_TEST
 
 /* Guards against a stream that is cut by a maintenance window: a server that
- * is given requests until the window begins still runs the longest of them
- * then.  New requests must stop one longest stream before. */
+ * is given requests until the window begins may still run the longest of them
+ * then.  New requests must stop before, by the longest stream allowed. */
 START_TEST(a_window_stops_new_requests_one_longest_stream_before)
 {
     err_t err = {0};
