--- a/Makefile
+++ b/Makefile
@@ -74,7 +74,7 @@
 $(BUILD)/soak/soak: $(SOAK) $(BUILD)/libceleryspool.o
 	@$(CC) $(CFLAGS) -o $@ $^ $(LDLIBS)
 
-# Runs the real programs with injected faults; the same SEED=n injects the same.
+# Runs the real programs with injected faults, which are derived from SEED.
 SEED ?= 1
 soak: all $(BUILD)/soak/soak
 	@mkdir -p $(OUT)
--- a/kernel/store.h
+++ b/kernel/store.h
@@ -13,8 +13,7 @@
     STORE_ABSENT,   /* no such object, or a watch that timed out */
     STORE_CONFLICT, /* the object has another version than expected */
     STORE_REFUSED,  /* no effect: unreachable, invalid or rate limited */
-    STORE_UNKNOWN   /* effect unknown: connection broken, timeout, server error
-                     */
+    STORE_UNKNOWN   /* effect unknown: disconnected, timeout, server error */
 } store_result_t;
 
 typedef struct {
