--- a/daemons/celeryspoolctl.c
+++ b/daemons/celeryspoolctl.c
@@ -90,12 +90,12 @@
     CLEAN_TEXT char *text = json_dumps(body, JSON_COMPACT);
     (void)snprintf(url, sizeof(url), "http://%s/admin/v1/command", args->addr);
     buf_fmt(&header, "Authorization: Bearer %s", args->key);
-    http_call_t call = {.method = "POST",
-                        .url = url,
-                        .body = text,
-                        .body_len = text == NULL ? 0 : strlen(text),
-                        .connect_ms = TIMEOUT_MS,
-                        .total_ms = TIMEOUT_MS};
+    http_client_request_t call = {.method = "POST",
+                                  .url = url,
+                                  .body = text,
+                                  .body_len = text == NULL ? 0 : strlen(text),
+                                  .connect_ms = TIMEOUT_MS,
+                                  .total_ms = TIMEOUT_MS};
     call.headers[0] = buf_text(&header);
     call.headers[1] = "Content-Type: application/json";
     if (text == NULL ||
@@ -227,8 +227,8 @@
 print_error(const json_t *reply, const char *line)
 {
     const json_t *error = json_object_get(reply, "error");
-    const char *message = json_text(error, "message");
-    int word = (int)json_int(error, "word", -1);
+    const char *message = json_get_string(error, "message");
+    int word = (int)json_get_int(error, "word", -1);
     if (word >= 0) {
         (void)fprintf(stderr, "%s\n%*s^\n", line, (int)word_column(line, word),
                       "");
@@ -237,7 +237,7 @@
                   message == NULL ? "command rejected" : message);
     if (json_object_get(reply, "generation") != NULL) {
         (void)fprintf(stderr, "generation in force: %lld\n",
-                      (long long)json_int(reply, "generation", 0));
+                      (long long)json_get_int(reply, "generation", 0));
     }
     const json_t *changes = json_object_get(reply, "changed_since");
     if (json_array_size(changes) > 0) {
@@ -278,7 +278,7 @@
     at = state == 0 ? 0 : at;
     for (; at < json_array_size(completion_rows); at++) {
         const char *name =
-            json_text(json_array_get(completion_rows, at), "name");
+            json_get_string(json_array_get(completion_rows, at), "name");
         if (name != NULL && strncmp(name, text, strlen(text)) == 0) {
             at++;
             return strdup(name);
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -61,7 +61,7 @@
         if (seq->req != NULL) {
             http_req_stream(seq->req, 200, "text/event-stream");
             http_req_end(seq->req, false);
-            http_req_release(seq->req);
+            http_req_unref(seq->req);
         }
         seq_free(engine, seq);
     }
@@ -87,13 +87,13 @@
 static void
 seq_lookup_prefix(engine_t *engine, seq_t *seq)
 {
-    size_t held = 0;
-    while (held < seq->block_count &&
-           engine_cache_lookup(engine->cache, seq->blocks[held])) {
-        held++;
+    size_t cached_count = 0;
+    while (cached_count < seq->block_count &&
+           engine_cache_lookup(engine->cache, seq->blocks[cached_count])) {
+        cached_count++;
     }
-    seq->cached_block_count = held;
-    seq->cached_tokens = (uint32_t)(held * PREFIX_BLOCK_TOKENS);
+    seq->cached_block_count = cached_count;
+    seq->cached_tokens = (uint32_t)(cached_count * PREFIX_BLOCK_TOKENS);
     seq->prefill_remaining = (double)(seq->prompt_tokens - seq->cached_tokens);
     engine->tokens_cached += seq->cached_tokens;
     engine->tokens_prefilled += seq->prompt_tokens - seq->cached_tokens;
@@ -115,14 +115,14 @@
 remove_continued_message(json_t *messages, const json_t *body)
 {
     size_t count = json_array_size(messages);
-    if (!json_flag(body, "continue_final_message") || count == 0) {
+    if (!json_get_bool(body, "continue_final_message") || count == 0) {
         return 0;
     }
     const char *text =
-        json_text(json_array_get(messages, count - 1), "content");
-    uint32_t done = answer_count_tokens(text == NULL ? "" : text);
+        json_get_string(json_array_get(messages, count - 1), "content");
+    uint32_t token_count = answer_count_tokens(text == NULL ? "" : text);
     (void)json_array_remove(messages, count - 1);
-    return done;
+    return token_count;
 }
 
 /* Admits a chat request; it is queued until a slot is free. */
@@ -135,22 +135,22 @@
         (void)err_set(err, ERR_HTTP, 400, "messages is not a list");
         return NULL;
     }
-    CLEAN_BUF buf_t full = {0};
-    prefix_render(messages, &full);
-    uint32_t done = remove_continued_message(messages, body);
+    CLEAN_BUF buf_t full_prompt = {0};
+    prefix_render(messages, &full_prompt);
+    uint32_t continued_tokens = remove_continued_message(messages, body);
     CLEAN_BUF buf_t prompt = {0};
     prefix_render(messages, &prompt);
 
-    const char *salt = json_text(body, "cache_salt");
-    const char *id = json_text(body, "request_id");
+    const char *salt = json_get_string(body, "cache_salt");
+    const char *id = json_get_string(body, "request_id");
     seq_t *seq = mem_zalloc(sizeof(*seq));
-    seq_compute_blocks(engine, seq, &full, salt == NULL ? "" : salt);
+    seq_compute_blocks(engine, seq, &full_prompt, salt == NULL ? "" : salt);
     seq->seed = answer_seed(buf_text(&prompt), prompt.len, engine->version);
     seq->max_tokens =
-        (uint32_t)json_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
-    seq->emitted = done;
-    seq->priority = (int)json_int(body, "priority", 0);
-    seq->stream = json_flag(body, "stream");
+        (uint32_t)json_get_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
+    seq->emitted = continued_tokens;
+    seq->priority = (int)json_get_int(body, "priority", 0);
+    seq->stream = json_get_bool(body, "stream");
     seq->arrival = engine->next_arrival++;
     seq->req = req;
     str_copy(seq->id, sizeof(seq->id), id == NULL ? "" : id);
@@ -234,7 +234,7 @@
 /* Completes the answer for the attached client, unless the sequence is
  * stalled: then the client must see no end either. */
 void
-engine_finish_reader(engine_t *engine, seq_t *seq)
+engine_finish_response(engine_t *engine, seq_t *seq)
 {
     (void)engine;
     if (seq->req == NULL || seq->stalled) {
@@ -246,7 +246,7 @@
     else {
         finish_response(seq);
     }
-    http_req_release(seq->req);
+    http_req_unref(seq->req);
     seq->req = NULL;
 }
 
@@ -295,10 +295,10 @@
             started++;
             seq_lookup_prefix(engine, seq);
         }
-        double take =
+        double prefilled =
             seq->prefill_remaining < budget ? seq->prefill_remaining : budget;
-        seq->prefill_remaining -= take;
-        budget -= take;
+        seq->prefill_remaining -= prefilled;
+        budget -= prefilled;
         if (seq->prefill_remaining <= 0) {
             seq_store_blocks(engine, seq);
         }
@@ -316,7 +316,7 @@
     if (seq->emitted >= seq->max_tokens) {
         seq->done = true;
         seq->ended_ms = time_mono_ms();
-        engine_finish_reader(engine, seq);
+        engine_finish_response(engine, seq);
     }
 }
 
@@ -331,13 +331,13 @@
     CK_LIST_FOREACH_SAFE (seq, &engine->seqs, entry, next) {
         if (seq->req != NULL && !seq->stalled &&
             http_req_is_disconnected(seq->req)) {
-            http_req_release(seq->req);
+            http_req_unref(seq->req);
             seq->req = NULL;
         }
         if (seq->done && now - seq->ended_ms > ENDED_RETENTION_MS) {
             if (seq->req != NULL) {
                 http_req_end(seq->req, false);
-                http_req_release(seq->req);
+                http_req_unref(seq->req);
             }
             seq_free(engine, seq);
         }
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -16,7 +16,8 @@
 handle_chat(engine_t *engine, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    const char *want = body == NULL ? NULL : json_text(body, "version");
+    const char *requested_version =
+        body == NULL ? NULL : json_get_string(body, "version");
     err_t err = {0};
     if (engine->loading[0] != '\0') {
         add_identity(engine, req);
@@ -24,17 +25,18 @@
                              engine->loading);
         return;
     }
-    if (want != NULL && strcmp(want, engine->version) != 0) {
+    if (requested_version != NULL &&
+        strcmp(requested_version, engine->version) != 0) {
         add_identity(engine, req);
         http_req_reply_error(req, 409, "other_version", "%s is loaded",
                              engine->version);
         return;
     }
-    http_req_hold(req);
+    http_req_ref(req);
     seq_t *seq = engine_admit(engine, body, req, &err);
     if (seq == NULL) {
         http_req_reply_error(req, 400, "bad_request", "%s", err.text);
-        http_req_release(req);
+        http_req_unref(req);
         return;
     }
     add_identity(engine, req);
@@ -65,16 +67,16 @@
     }
     if (seq->req != NULL) {
         http_req_end(seq->req, false);
-        http_req_release(seq->req);
+        http_req_unref(seq->req);
     }
-    http_req_hold(req);
+    http_req_ref(req);
     seq->req = req;
     seq->stalled = false;
     seq->stream = true;
     http_req_stream(req, 200, "text/event-stream");
     engine_emit_tokens(engine, seq, from, seq->emitted);
     if (seq->done) {
-        engine_finish_reader(engine, seq);
+        engine_finish_response(engine, seq);
     }
 }
 
@@ -89,7 +91,7 @@
         seq->ended_ms = time_mono_ms();
         if (seq->req != NULL) {
             http_req_end(seq->req, false);
-            http_req_release(seq->req);
+            http_req_unref(seq->req);
             seq->req = NULL;
         }
     }
@@ -115,8 +117,8 @@
 handle_order(engine_t *engine, http_req_t *req)
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
-    const char *version = json_text(body, "version");
-    int64_t fencing_token = json_int(body, "fence", 0);
+    const char *version = json_get_string(body, "version");
+    int64_t fencing_token = json_get_int(body, "fence", 0);
     if (version == NULL) {
         http_req_reply_error(req, 400, "bad_order", "version is missing");
         return;
@@ -141,7 +143,7 @@
 static void
 update_setting(const json_t *body, const char *key, unsigned *setting)
 {
-    *setting = (unsigned)json_int(body, key, (json_int_t)*setting);
+    *setting = (unsigned)json_get_int(body, key, (json_int_t)*setting);
 }
 
 static void
@@ -167,15 +169,15 @@
     update_setting(body, "version_load_ms", &settings->version_load_ms);
     update_setting(body, "event_drop_percent", &settings->event_drop_percent);
     if (json_object_get(body, "frozen") != NULL) {
-        settings->frozen = json_flag(body, "frozen");
+        settings->frozen = json_get_bool(body, "frozen");
     }
     if (json_object_get(body, "honours_fencing") != NULL) {
-        settings->honours_fencing = json_flag(body, "honours_fencing");
+        settings->honours_fencing = json_get_bool(body, "honours_fencing");
     }
-    if (json_flag(body, "silence_streams")) {
+    if (json_get_bool(body, "silence_streams")) {
         stall_streams(engine);
     }
-    if (json_flag(body, "crash_empty")) {
+    if (json_get_bool(body, "crash_empty")) {
         engine_restart_empty(engine);
     }
     http_req_reply(req, 200, "application/json", "{}", 2);
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -78,15 +78,15 @@
         store->writes_this_second = 0;
         store->reads_this_second = 0;
     }
-    unsigned *now =
+    unsigned *count =
         write ? &store->writes_this_second : &store->reads_this_second;
     unsigned *peak = write ? &store->writes_peak : &store->reads_peak;
     unsigned max = write ? store->writes_per_s_max : store->reads_per_s_max;
     *(write ? &store->writes : &store->reads) += 1;
-    *now += 1;
-    *peak = *now > *peak ? *now : *peak;
-    store->rejected += *now > max;
-    return *now <= max;
+    *count += 1;
+    *peak = *count > *peak ? *count : *peak;
+    store->rejected += *count > max;
+    return *count <= max;
 }
 
 static void
@@ -109,7 +109,7 @@
             continue;
         }
         reply_object(watcher->req, json_object_get(store->objects, name));
-        http_req_release(watcher->req);
+        http_req_unref(watcher->req);
         CK_LIST_REMOVE(watcher, entry);
         free(watcher);
     }
@@ -122,7 +122,7 @@
     int64_t timeout_ms =
         timeout == NULL ? WATCH_TIMEOUT_S * 1000 : strtoll(timeout, NULL, 10);
     watcher_t *watcher = mem_zalloc(sizeof(*watcher));
-    http_req_hold(req);
+    http_req_ref(req);
     watcher->req = req;
     watcher->version = version;
     watcher->due_ms = time_mono_ms() + timeout_ms;
@@ -138,7 +138,7 @@
     const char *after = http_req_query(req, "after");
     const json_t *object = json_object_get(store->objects, name);
     int64_t current_version =
-        object == NULL ? 0 : json_int(object, "version", 0);
+        object == NULL ? 0 : json_get_int(object, "version", 0);
     if (after != NULL && current_version <= strtoll(after, NULL, 10)) {
         watcher_add(store, req, name, strtoll(after, NULL, 10));
         return;
@@ -157,7 +157,7 @@
     const char *text = http_req_body(req, &len);
     const json_t *object = json_object_get(store->objects, name);
     int64_t current_version =
-        object == NULL ? 0 : json_int(object, "version", 0);
+        object == NULL ? 0 : json_get_int(object, "version", 0);
     if (len > VALUE_MAX) {
         http_req_reply_error(req, 413, "too_large", "over a megabyte");
         return;
@@ -212,11 +212,11 @@
 {
     CLEAN_JSON json_t *body = json_loads(http_req_body(req, NULL), 0, NULL);
     if (json_object_get(body, "outage") != NULL) {
-        store->outage = json_flag(body, "outage");
+        store->outage = json_get_bool(body, "outage");
     }
-    store->delay_ms = (unsigned)json_int(body, "slow_ms", store->delay_ms);
+    store->delay_ms = (unsigned)json_get_int(body, "slow_ms", store->delay_ms);
     store->answers_to_drop =
-        (unsigned)json_int(body, "lose_answers", store->answers_to_drop);
+        (unsigned)json_get_int(body, "lose_answers", store->answers_to_drop);
     if (json_object_get(body, "hosts") != NULL) {
         json_decref(store->hosts);
         store->hosts = json_incref(json_object_get(body, "hosts"));
@@ -236,7 +236,7 @@
 }
 
 static void
-handle_now(store_t *store, http_req_t *req)
+handle_request(store_t *store, http_req_t *req)
 {
     const char *path = http_req_path(req);
     if (strncmp(path, OBJECTS_PATH, strlen(OBJECTS_PATH)) == 0) {
@@ -262,13 +262,13 @@
     store_t *store = arg;
     LOCK_SCOPE(&store->lock);
     if (store->delay_ms == 0 || strcmp(http_req_path(req), "/control") == 0) {
-        handle_now(store, req);
+        handle_request(store, req);
         return;
     }
     /* When slow, each request but /control waits here and is handled, with
      * its effect, when the delay is over. */
     delayed_request_t *delayed = mem_zalloc(sizeof(*delayed));
-    http_req_hold(req);
+    http_req_ref(req);
     delayed->req = req;
     delayed->due_ms = time_mono_ms() + store->delay_ms;
     CK_LIST_INSERT_HEAD(&store->delayed_requests, delayed, entry);
@@ -286,7 +286,7 @@
             continue;
         }
         http_req_reply(watcher->req, 204, "text/plain", "", 0);
-        http_req_release(watcher->req);
+        http_req_unref(watcher->req);
         CK_LIST_REMOVE(watcher, entry);
         free(watcher);
     }
@@ -296,8 +296,8 @@
         if (now < delayed->due_ms && !fake_store_stop) {
             continue;
         }
-        handle_now(store, delayed->req);
-        http_req_release(delayed->req);
+        handle_request(store, delayed->req);
+        http_req_unref(delayed->req);
         CK_LIST_REMOVE(delayed, entry);
         free(delayed);
     }
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -207,7 +207,7 @@
     const json_t *choice =
         json_array_get(json_object_get(event, "choices"), 0);
     const char *content =
-        json_text(json_object_get(choice, "delta"), "content");
+        json_get_string(json_object_get(choice, "delta"), "content");
     if (content == NULL) {
         return;
     }
@@ -261,7 +261,7 @@
                                          request->response_body.len, 0, NULL);
     const json_t *choice = json_array_get(json_object_get(body, "choices"), 0);
     const char *content =
-        json_text(json_object_get(choice, "message"), "content");
+        json_get_string(json_object_get(choice, "message"), "content");
     request->first_token_us = time_mono_us();
     buf_str(&request->answer_text, content == NULL ? "" : content);
 }
@@ -336,16 +336,16 @@
     char idempotency[128];
     const load_opts_t *opts = &request->client->opts;
     const char *target = opts->targets[request->target % opts->target_count];
-    http_call_t call = {.method = "POST",
-                        .url = url,
-                        .body = request->body,
-                        .body_len = strlen(request->body),
-                        .connect_ms = CONNECT_MS,
-                        .total_ms = (int)opts->deadline_ms + 5000,
-                        .on_header = on_header,
-                        .on_data = on_data,
-                        .on_end = on_end,
-                        .arg = request};
+    http_client_request_t call = {.method = "POST",
+                                  .url = url,
+                                  .body = request->body,
+                                  .body_len = strlen(request->body),
+                                  .connect_ms = CONNECT_MS,
+                                  .total_ms = (int)opts->deadline_ms + 5000,
+                                  .on_header = on_header,
+                                  .on_data = on_data,
+                                  .on_end = on_end,
+                                  .arg = request};
     int header_count = 0;
     request->outcome[0] = '\0';
     buf_free(&request->response_body);
--- a/kernel/admin.c
+++ b/kernel/admin.c
@@ -53,7 +53,7 @@
     (void)command_run(job->daemon, job->operator_name, job->line,
                       job->if_generation, &reply, &status);
     http_req_reply_json(job->req, status, reply);
-    http_req_release(job->req);
+    http_req_unref(job->req);
     free(job->line);
     free(job);
 }
@@ -64,7 +64,7 @@
                int64_t if_generation)
 {
     command_job_t *job = mem_zalloc(sizeof(*job));
-    http_req_hold(req);
+    http_req_ref(req);
     job->daemon = daemon;
     job->req = req;
     job->line = strdup(line);
@@ -81,14 +81,14 @@
     size_t len;
     const char *text = http_req_body(req, &len);
     CLEAN_JSON json_t *body = json_loadb(text, len, 0, NULL);
-    const char *line = json_text(body, "line");
+    const char *line = json_get_string(body, "line");
     if (line == NULL) {
         http_req_reply_error(req, 400, "bad_request",
                              "the body needs a string field line");
         return;
     }
     submit_command(daemon, req, operator_name, line,
-                   json_int(body, "if_generation", -1));
+                   json_get_int(body, "if_generation", -1));
 }
 
 /* GET /admin/v1/config returns the current document. */
--- a/kernel/cache-map.c
+++ b/kernel/cache-map.c
@@ -157,10 +157,10 @@
     return cache_map_add_holder_at(map, backend, key, tokens, 0);
 }
 
-/* The same with the time: servers evict what is unused for long, so a lookup
- * can require holders confirmed since a given time.  Also returns true if the
- * last confirmation was HOLDER_REFRESH_MS ago or more, so that peers are
- * notified again. */
+/* The same with the time of the confirmation: servers evict prefixes that have
+ * not been used for long, so a lookup can require holders confirmed since a
+ * given time.  Also returns true if the last confirmation was
+ * HOLDER_REFRESH_MS ago or more, so that peers are notified again. */
 bool
 cache_map_add_holder_at(cache_map_t *map, uint16_t backend, uint64_t key,
                         uint32_t tokens, int64_t now_ms)
@@ -269,7 +269,7 @@
  * from which a peer warms up.  A level used only once most often belongs to a
  * single request and is left out. */
 size_t
-cache_map_list_reused(cache_map_t *map, cache_fact_t *facts, size_t max)
+cache_map_list_reused(cache_map_t *map, cached_level_t *levels, size_t max)
 {
     size_t count = 0;
     LOCK_SCOPE(&map->lock);
@@ -277,8 +277,8 @@
          entry != NULL; entry = entry_from_link(entry->lru.older)) {
         for (int i = 0; i < entry->count && count < max; i++) {
             if (entry->uses > 1 && holder_is_valid(map, &entry->holders[i])) {
-                facts[count++] = (cache_fact_t){entry->key, entry->tokens,
-                                                entry->holders[i].backend};
+                levels[count++] = (cached_level_t){entry->key, entry->tokens,
+                                                   entry->holders[i].backend};
             }
         }
     }
--- a/kernel/call-recover.c
+++ b/kernel/call-recover.c
@@ -114,7 +114,7 @@
 static void
 abandon_attempt(call_t *call)
 {
-    http_client_cancel(call->daemon->http_client, call->xfer);
+    http_client_cancel(call->daemon->http_client, call->exchange_id);
     call_remove_from_view(call);
     call->attempt_number++;
 }
@@ -130,8 +130,8 @@
     CLEAN_JSON json_t *reply =
         json_loadb(buf_text(&probe->body), probe->body.len, 0, NULL);
     bool known = end == HTTP_END_COMPLETE && status == 200;
-    if (known && (json_int(reply, "emitted", 0) > call->u.chat.emitted ||
-                  json_flag(reply, "done"))) {
+    if (known && (json_get_int(reply, "emitted", 0) > call->u.chat.emitted ||
+                  json_get_bool(reply, "done"))) {
         call_emit_event(call, "line-silent", NULL);
         abandon_attempt(call);
         chat_recover(call, true);
@@ -173,7 +173,7 @@
     (void)pthread_mutex_unlock(&call->lock);
     buf_free(&probe->body);
     free(probe);
-    call_release(call);
+    call_unref(call);
 }
 
 static void
@@ -181,20 +181,20 @@
 {
     char url[CS_ADDR_MAX + 128];
     probe_t *probe = mem_zalloc(sizeof(*probe));
-    call_hold(call);
+    call_ref(call);
     call->probing = true;
     probe->call = call;
     probe->attempt_number = call->attempt_number;
     (void)snprintf(url, sizeof(url), "http://%s/v1/streams/%s?status=1",
                    call->addr, call->stream_id);
-    http_call_t request = {.method = "GET",
-                           .url = url,
-                           .connect_ms = PROBE_TIMEOUT_MS,
-                           .total_ms = PROBE_TIMEOUT_MS,
-                           .new_connection = true,
-                           .on_data = probe_on_data,
-                           .on_end = probe_on_end,
-                           .arg = probe};
+    http_client_request_t request = {.method = "GET",
+                                     .url = url,
+                                     .connect_ms = PROBE_TIMEOUT_MS,
+                                     .total_ms = PROBE_TIMEOUT_MS,
+                                     .new_connection = true,
+                                     .on_data = probe_on_data,
+                                     .on_end = probe_on_end,
+                                     .arg = probe};
     (void)http_client_start(call->daemon->http_client, &request);
 }
 
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -28,7 +28,7 @@
 attempt_new(call_t *call, bool resume)
 {
     attempt_t *attempt = mem_zalloc(sizeof(*attempt));
-    call_hold(call);
+    call_ref(call);
     attempt->call = call;
     attempt->number = ++call->attempt_number;
     attempt->resume = resume;
@@ -42,7 +42,7 @@
 static void
 attempt_free(attempt_t *attempt)
 {
-    call_release(attempt->call);
+    call_unref(attempt->call);
     buf_free(&attempt->error);
     free(attempt);
 }
@@ -78,7 +78,7 @@
 }
 
 static void
-seal_token(call_t *call)
+sign_resume_token(call_t *call)
 {
     resume_t resume = {.prompt_hash = call->u.chat.prompt_hash};
     str_copy(resume.workspace, sizeof(resume.workspace), call->workspace);
@@ -87,12 +87,12 @@
              call->incarnation);
     str_copy(resume.stream, sizeof(resume.stream), call->stream_id);
     str_copy(resume.version, sizeof(resume.version), call->version);
-    resume_seal(&resume, call->daemon->settings.secret,
-                call->u.chat.resume_token);
+    resume_token_sign(&resume, call->daemon->settings.secret,
+                      call->u.chat.resume_token);
 }
 
 /* Handle the first token of an attempt: report the time that it took to the
- * view, seal the resume token and open the caller's stream. */
+ * view, sign the resume token and open the caller's stream. */
 static void
 handle_first_token(call_t *call)
 {
@@ -105,7 +105,7 @@
         view_record_success(call->daemon->view, call->backend_id);
     }
     call->first_token_received = true;
-    seal_token(call);
+    sign_resume_token(call);
     if (call->phase != CALL_STREAMING) {
         call->phase = CALL_STREAMING;
         series_observe(call->series, METRIC_TTFT, now - call->received_us);
@@ -137,8 +137,8 @@
     if (usage == NULL || chat->prompt_tokens > 0) {
         return;
     }
-    chat->prompt_tokens = (uint32_t)json_int(usage, "prompt_tokens", 0);
-    chat->cached_tokens = (uint32_t)json_int(details, "cached_tokens", 0);
+    chat->prompt_tokens = (uint32_t)json_get_int(usage, "prompt_tokens", 0);
+    chat->cached_tokens = (uint32_t)json_get_int(details, "cached_tokens", 0);
 }
 
 /* Handle an upstream event: a token, the usage at the end, or [DONE]. */
@@ -161,12 +161,12 @@
     const json_t *choice =
         json_array_get(json_object_get(event, "choices"), 0);
     const char *content =
-        json_text(json_object_get(choice, "delta"), "content");
+        json_get_string(json_object_get(choice, "delta"), "content");
     parse_usage(chat, json_object_get(event, "usage"));
     if (content == NULL) {
         return;
     }
-    int64_t index = json_int(event, "token_index", chat->emitted);
+    int64_t index = json_get_int(event, "token_index", chat->emitted);
     /* Tokens that the caller already has are skipped.  An index that is ahead
      * means that tokens are missing: the answer must not look complete. */
     chat->has_gap = chat->has_gap || index > (int64_t)chat->emitted;
@@ -232,7 +232,7 @@
     if (http_req_is_disconnected(call->req) ||
         http_req_backlog(call->req) > BACKLOG_BYTES_MAX) {
         call_emit_event(call, "caller-gone", NULL);
-        http_client_cancel(call->daemon->http_client, call->xfer);
+        http_client_cancel(call->daemon->http_client, call->exchange_id);
         call_fail(call, 499, "caller_gone", OUTCOME_UNKNOWN,
                   "the caller does not read");
     }
@@ -377,19 +377,20 @@
 attempt_send(call_t *call, attempt_t *attempt, const char *method,
              const char *url, const char *body)
 {
-    http_call_t request = {.method = method,
-                           .url = url,
-                           .body = body,
-                           .body_len = body == NULL ? 0 : strlen(body),
-                           .connect_ms = CONNECT_TIMEOUT_MS,
-                           .new_connection = attempt->resume,
-                           .on_header = on_header,
-                           .on_data = on_data,
-                           .on_end = on_end,
-                           .arg = attempt};
+    http_client_request_t request = {
+        .method = method,
+        .url = url,
+        .body = body,
+        .body_len = body == NULL ? 0 : strlen(body),
+        .connect_ms = CONNECT_TIMEOUT_MS,
+        .new_connection = attempt->resume,
+        .on_header = on_header,
+        .on_data = on_data,
+        .on_end = on_end,
+        .arg = attempt};
     request.headers[0] = "Content-Type: application/json";
     request.headers[1] = "Accept: text/event-stream";
-    call->xfer = http_client_start(call->daemon->http_client, &request);
+    call->exchange_id = http_client_start(call->daemon->http_client, &request);
 }
 
 /* Send a chat to the chosen server.  The call's lock is held. */
--- a/kernel/config.c
+++ b/kernel/config.c
@@ -192,7 +192,7 @@
 static int
 read_backend_kind(const item_t *item, backend_t *backend)
 {
-    const char *kind = json_text(item->fields, "kind");
+    const char *kind = json_get_string(item->fields, "kind");
     if (kind != NULL && strcmp(kind, "engine") == 0) {
         backend->kind = BACKEND_ENGINE;
         return 0;
@@ -243,7 +243,7 @@
     static const char *const keys[] = {"kind", "target", "begin_ms", "end_ms",
                                        NULL};
     static const char *const kinds[] = {"backend", "dc", "host"};
-    const char *kind = json_text(item->fields, "kind");
+    const char *kind = json_get_string(item->fields, "kind");
     str_copy(window->name, sizeof(window->name), item->name);
     if (item_check_fields(item, keys) != 0 ||
         item_read_text(item, "target", true, window->target,
@@ -297,9 +297,9 @@
 static int
 read_top_level(config_t *config, err_t *err)
 {
-    const char *objective = json_text(config->doc, "objective");
-    const char *policy = json_text(config->doc, "policy");
-    config->generation = json_int(config->doc, "generation", -1);
+    const char *objective = json_get_string(config->doc, "objective");
+    const char *policy = json_get_string(config->doc, "policy");
+    config->generation = json_get_int(config->doc, "generation", -1);
     if (config->generation < 0) {
         return err_set(err, ERR_CONFIG, 400, "generation is missing");
     }
@@ -318,12 +318,12 @@
 {
     for (size_t i = 0; i < config->backend_count; i++) {
         const backend_t *backend = &config->backends[i];
-        bool known =
+        bool is_declared =
             backend->kind == BACKEND_UNROUTED ||
             (backend->kind == BACKEND_ENGINE
                  ? config_find_model(config, backend->serves) != NULL
                  : config_find_service(config, backend->serves) != NULL);
-        if (!known) {
+        if (!is_declared) {
             return err_set(err, ERR_CONFIG, 400,
                            "backends %s: serves %s, which is not declared",
                            backend->name, backend->serves);
@@ -495,14 +495,14 @@
     }
     for (size_t i = 0; i < config->window_count; i++) {
         const window_t *window = &config->windows[i];
-        int64_t lead = config_window_lead_ms(config, backend);
+        int64_t lead_ms = config_window_lead_ms(config, backend);
         if (!window_covers(window, backend) || now_ms >= window->end_ms) {
             continue;
         }
         if (now_ms >= window->begin_ms) {
             return AVAILABILITY_IN_WINDOW;
         }
-        if (now_ms >= window->begin_ms - lead) {
+        if (now_ms >= window->begin_ms - lead_ms) {
             return AVAILABILITY_WINDOW_NEAR;
         }
     }
@@ -548,7 +548,7 @@
 const char *
 availability_name(availability_t availability)
 {
-    static const char *const words[] = {"open", "drained", "window-near",
+    static const char *const names[] = {"open", "drained", "window-near",
                                         "window"};
-    return words[availability];
+    return names[availability];
 }
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -75,14 +75,14 @@
     call_t *call;
     CK_LIST_FOREACH (call, &daemon->calls, entry) {
         if (call->kind == CALL_CHAT) {
-            call_hold(call);
+            call_ref(call);
             calls[count++] = call;
         }
     }
     (void)pthread_mutex_unlock(&daemon->calls_lock);
     for (size_t i = 0; i < count; i++) {
         chat_tick(calls[i], now);
-        call_release(calls[i]);
+        call_unref(calls[i]);
     }
     free(calls);
 }
@@ -138,12 +138,12 @@
     }
 }
 
-/* Start draining: the daemon reports not ready, so that the load balancer
- * stops sending requests; those that still arrive are served. */
+/* Start draining: the daemon reports that it is not ready, so that the load
+ * balancer stops sending requests; those that still arrive are served. */
 static void
 start_draining(celeryspoold_t *daemon)
 {
-    daemon_set_state(daemon, STATE_LEAVING);
+    daemon_set_state(daemon, STATE_DRAINING);
     log_info("daemon", "Draining; %zu requests are running.",
              daemon_call_count(daemon));
     event_emit(&(event_t){.kind = "daemon-leaving"});
@@ -177,13 +177,13 @@
         daemon_set_state(daemon, STATE_READY);
         log_info("daemon", "The maintenance window is over; ready again.");
         if (stop_is_requested(daemon)) {
-            daemon_set_state(daemon, STATE_LEAVING);
+            daemon_set_state(daemon, STATE_DRAINING);
         }
     }
 }
 
 static void *
-ticker_run(void *arg)
+tick_run(void *arg)
 {
     celeryspoold_t *daemon = arg;
     unsigned tick = 0;
@@ -219,7 +219,7 @@
         return err_wrap(err, ERR_SETTINGS, 0, "cannot start the peer service");
     }
     snapshot_warm_up(daemon);
-    (void)pthread_create(&daemon->tick_thread, NULL, ticker_run, daemon);
+    (void)pthread_create(&daemon->tick_thread, NULL, tick_run, daemon);
     (void)pthread_create(&daemon->feed_thread, NULL, feed_run, daemon);
     (void)pthread_create(&daemon->config_thread, NULL, config_sync_run,
                          daemon);
--- a/kernel/daemon.h
+++ b/kernel/daemon.h
@@ -16,7 +16,7 @@
 #define TRIED_MAX 4
 #define CALL_DEADLINE_MAX_MS 600000
 
-typedef enum { STATE_WARMING, STATE_READY, STATE_LEAVING } daemon_state_t;
+typedef enum { STATE_WARMING, STATE_READY, STATE_DRAINING } daemon_state_t;
 
 /* The outcome of a request, reported to its caller in each answer. */
 typedef enum { OUTCOME_DONE, OUTCOME_NOT_RUN, OUTCOME_UNKNOWN } outcome_t;
@@ -33,7 +33,7 @@
     daemon_state_t state;
     bool stopping;            /* the threads are to end */
     bool stop_requested;      /* a graceful shutdown has begun */
-    bool draining_for_window; /* used by the tick thread only */
+    bool draining_for_window; /* maintenance window; tick thread only */
     int64_t started_ms;
 
     pthread_mutex_t config_lock;
@@ -112,7 +112,7 @@
     buf_t request_target; /* path and query, without the service name */
     char content_type[128];
     char reply_content_type[128];
-    bool overflow; /* the reply is too long to pass on */
+    bool reply_too_long; /* over REPLY_BYTES_MAX; the caller gets a 502 */
     buf_t body;
     buf_t reply;
     bool idempotent;
@@ -147,7 +147,7 @@
     /* The current attempt: one exchange with one backend server.  Callbacks
      * of an older attempt carry a smaller number and are ignored. */
     unsigned attempt_number;
-    uint64_t xfer;
+    uint64_t exchange_id;      /* for http_client_cancel */
     bool first_token_received; /* a new token arrived in this attempt */
     bool counted_in_view; /* this attempt is counted as load in the view */
     char placement_reason[200]; /* why the policy chose this server */
@@ -172,8 +172,8 @@
 call_t *call_new(celeryspoold_t *daemon, http_req_t *req, call_kind_t kind,
                  const workspace_t *workspace, const char *target);
 long call_timeout_ms(http_req_t *req);
-void call_hold(call_t *call);
-void call_release(call_t *call);
+void call_ref(call_t *call);
+void call_unref(call_t *call);
 void call_reject(call_t *call, int status, const char *code, int retry_after_s,
                  const char *text);
 void call_fail(call_t *call, int status, const char *code, outcome_t outcome,
@@ -216,7 +216,7 @@
 bool config_sync_adopt(celeryspoold_t *daemon, json_t *doc, int64_t version,
                        const char *source);
 int config_sync_commit(celeryspoold_t *daemon, const change_t *change,
-                       const char *who, const char *what,
+                       const char *operator_name, const char *description,
                        int64_t if_generation, json_t **result, err_t *err);
 void *config_sync_run(void *arg);
 void *feed_run(void *arg);
@@ -234,7 +234,7 @@
                         const load_report_t *report);
 void peer_announce_cached(peer_t *peer, const char *backend, uint64_t key,
                           uint32_t tokens, bool held);
-json_t *peer_fetch(const char *addr, const char *what, int timeout_ms,
+json_t *peer_fetch(const char *addr, const char *document, int timeout_ms,
                    err_t *err);
 
 /* ---- thread pool for jobs that may block ---- */
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -11,29 +11,29 @@
 
 #define POLL_INTERVAL_MS 100
 #define EVENT_POLL_ROUNDS 2
-#define TIMEOUT_MS 1000
+#define POLL_TIMEOUT_MS 1000
 #define ANNOUNCE_WAITING_CHANGE_TOKENS 100
 #define ANNOUNCE_RUNNING_CHANGE 3
 #define ANNOUNCE_INTERVAL_MAX_MS 1000
 
-/* One HTTP request to a backend server; freed when it ends. */
+/* A poll of a backend server; freed when its request ends. */
 typedef struct {
     celeryspoold_t *daemon;
     char backend[CS_NAME_MAX];
     bool events;
     buf_t body;
-} poll_request_t;
+} poll_t;
 
 static void
 on_data(void *arg, int status, const char *data, size_t len)
 {
     (void)status;
-    poll_request_t *request = arg;
-    buf_add(&request->body, data, len);
+    poll_t *poll = arg;
+    buf_add(&poll->body, data, len);
 }
 
 /* Applies a load report, from the server itself or from a peer.  A changed
- * incarnation or weights version means that the server's cache is gone. */
+ * incarnation or weights version means that the server's cache is empty. */
 void
 feed_apply_load(celeryspoold_t *daemon, const char *backend,
                 const load_report_t *report)
@@ -82,14 +82,14 @@
 process_load(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
     load_report_t report = {
-        .running = (int)json_int(body, "running", 0),
-        .slots = (int)json_int(body, "slots", 0),
-        .waiting_tokens = (int)json_int(body, "waiting_tokens", 0),
-        .prefill_rate = (int)json_int(body, "prefill_rate", 0)};
-    const char *incarnation = json_text(body, "incarnation");
-    const char *version = json_text(body, "version");
+        .running = (int)json_get_int(body, "running", 0),
+        .slots = (int)json_get_int(body, "slots", 0),
+        .waiting_tokens = (int)json_get_int(body, "waiting_tokens", 0),
+        .prefill_rate = (int)json_get_int(body, "prefill_rate", 0)};
+    const char *incarnation = json_get_string(body, "incarnation");
+    const char *version = json_get_string(body, "version");
     str_copy(report.loading, sizeof(report.loading),
-             json_text(body, "loading"));
+             json_get_string(body, "loading"));
     if (incarnation == NULL || version == NULL) {
         return;
     }
@@ -117,13 +117,13 @@
 }
 
 /* Applies cache events in order.  Missing event numbers are not requested
- * again: a wrong entry costs one recomputation, and the usage in the answer
- * corrects it. */
+ * again: a wrong entry costs one recomputation, after which the server holds
+ * the prefix again. */
 static void
 apply_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
     uint16_t id = view_assign_id(daemon->view, backend);
-    const char *incarnation = json_text(body, "incarnation");
+    const char *incarnation = json_get_string(body, "incarnation");
     size_t i;
     const json_t *event;
     backend_state_t state;
@@ -146,20 +146,20 @@
 static void
 on_end(void *arg, http_end_t end, int status)
 {
-    poll_request_t *request = arg;
+    poll_t *poll = arg;
     if (end == HTTP_END_COMPLETE && status == 200) {
         CLEAN_JSON json_t *body =
-            json_loadb(buf_text(&request->body), request->body.len, 0, NULL);
-        if (request->events) {
-            apply_events(request->daemon, request->backend, body);
+            json_loadb(buf_text(&poll->body), poll->body.len, 0, NULL);
+        if (poll->events) {
+            apply_events(poll->daemon, poll->backend, body);
         }
         else {
-            process_load(request->daemon, request->backend, body);
-            dispatch_run(request->daemon);
+            process_load(poll->daemon, poll->backend, body);
+            dispatch_run(poll->daemon);
         }
     }
-    buf_free(&request->body);
-    free(request);
+    buf_free(&poll->body);
+    free(poll);
 }
 
 static void
@@ -167,19 +167,19 @@
           bool events)
 {
     char url[CS_ADDR_MAX + 96];
-    poll_request_t *request = mem_zalloc(sizeof(*request));
-    request->daemon = daemon;
-    request->events = events;
-    str_copy(request->backend, sizeof(request->backend), backend->name);
+    poll_t *poll = mem_zalloc(sizeof(*poll));
+    poll->daemon = daemon;
+    poll->events = events;
+    str_copy(poll->backend, sizeof(poll->backend), backend->name);
     (void)snprintf(url, sizeof(url), "http://%s%s", backend->addr, path);
-    http_call_t call = {.method = "GET",
-                        .url = url,
-                        .connect_ms = TIMEOUT_MS,
-                        .total_ms = TIMEOUT_MS,
-                        .on_data = on_data,
-                        .on_end = on_end,
-                        .arg = request};
-    (void)http_client_start(daemon->http_client, &call);
+    http_client_request_t request = {.method = "GET",
+                                     .url = url,
+                                     .connect_ms = POLL_TIMEOUT_MS,
+                                     .total_ms = POLL_TIMEOUT_MS,
+                                     .on_data = on_data,
+                                     .on_end = on_end,
+                                     .arg = poll};
+    (void)http_client_start(daemon->http_client, &request);
 }
 
 static void
@@ -210,8 +210,8 @@
     size_t i;
     const json_t *host;
     json_array_foreach (hosts, i, host) {
-        const char *name = json_text(host, "name");
-        const char *state = json_text(host, "state");
+        const char *name = json_get_string(host, "name");
+        const char *state = json_get_string(host, "state");
         if (name != NULL && state != NULL) {
             view_set_host_leaving(daemon->view,
                                   view_assign_id(daemon->view, name),
--- a/kernel/order.c
+++ b/kernel/order.c
@@ -43,11 +43,12 @@
     if (result != STORE_OK) {
         return -1;
     }
-    const char *holder = json_text(value, "holder");
-    int64_t takeover_ms = json_int(value, "until_ms", 0) + ORDER_TIMEOUT_MS;
+    const char *holder = json_get_string(value, "holder");
+    int64_t takeover_ms =
+        json_get_int(value, "until_ms", 0) + ORDER_TIMEOUT_MS;
     bool is_holder =
         holder != NULL && strcmp(holder, daemon->settings.name) == 0 &&
-        json_int(value, "incarnation", 0) == (int64_t)daemon->incarnation;
+        json_get_int(value, "incarnation", 0) == (int64_t)daemon->incarnation;
     return is_holder || time_wall_ms() > takeover_ms ? 0 : -1;
 }
 
@@ -104,14 +105,14 @@
                   "issuer", daemon->settings.name);
     CLEAN_TEXT char *text = json_dumps(order, JSON_COMPACT);
     (void)snprintf(url, sizeof(url), "http://%s/orders", backend->addr);
-    http_call_t call = {.method = "POST",
-                        .url = url,
-                        .body = text,
-                        .body_len = strlen(text),
-                        .connect_ms = ORDER_TIMEOUT_MS,
-                        .total_ms = ORDER_TIMEOUT_MS,
-                        .new_connection = true};
-    http_end_t end = http_fetch(&call, &status, &reply);
+    http_client_request_t request = {.method = "POST",
+                                     .url = url,
+                                     .body = text,
+                                     .body_len = strlen(text),
+                                     .connect_ms = ORDER_TIMEOUT_MS,
+                                     .total_ms = ORDER_TIMEOUT_MS,
+                                     .new_connection = true};
+    http_end_t end = http_fetch(&request, &status, &reply);
     event_emit(&(event_t){
         .kind = "order", .backend = backend->name, .detail = model->version});
     log_info("order", "Ordered %s to load %s: %s %d.", backend->name,
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -75,7 +75,7 @@
     switch (daemon_state(daemon)) {
         case STATE_WARMING:
             return "warming";
-        case STATE_LEAVING:
+        case STATE_DRAINING:
             return "leaving";
         case STATE_READY:
             break;
@@ -88,9 +88,9 @@
 static void
 handle_ready(celeryspoold_t *daemon, http_req_t *req)
 {
-    const char *why = not_ready_reason(daemon);
-    if (why != NULL) {
-        http_req_reply_error(req, 503, "not_ready", "%s", why);
+    const char *reason = not_ready_reason(daemon);
+    if (reason != NULL) {
+        http_req_reply_error(req, 503, "not_ready", "%s", reason);
         return;
     }
     http_req_reply(req, 200, "text/plain", "ready\n", 6);
--- a/kernel/util.c
+++ b/kernel/util.c
@@ -151,16 +151,16 @@
 utf8_sequence_len(const unsigned char *data, size_t len)
 {
     unsigned char lead = data[0];
-    size_t want = lead < 0x80   ? 1
-                  : lead < 0xc2 ? 0
-                  : lead < 0xe0 ? 2
-                  : lead < 0xf0 ? 3
-                  : lead < 0xf5 ? 4
-                                : 0;
-    if (want == 0 || want > len) {
+    size_t sequence_len = lead < 0x80   ? 1
+                          : lead < 0xc2 ? 0
+                          : lead < 0xe0 ? 2
+                          : lead < 0xf0 ? 3
+                          : lead < 0xf5 ? 4
+                                        : 0;
+    if (sequence_len == 0 || sequence_len > len) {
         return 0;
     }
-    for (size_t i = 1; i < want; i++) {
+    for (size_t i = 1; i < sequence_len; i++) {
         if ((data[i] & 0xc0) != 0x80) {
             return 0;
         }
@@ -169,7 +169,7 @@
         (lead == 0xe0 && data[1] < 0xa0) || (lead == 0xf0 && data[1] < 0x90);
     bool out_of_range =
         (lead == 0xed && data[1] > 0x9f) || (lead == 0xf4 && data[1] > 0x8f);
-    return overlong || out_of_range ? 0 : want;
+    return overlong || out_of_range ? 0 : sequence_len;
 }
 
 /* Whether the bytes are well-formed UTF-8 (RFC 3629). */
@@ -217,24 +217,24 @@
     (void)pthread_mutex_unlock(*lock);
 }
 
-/* A member's text, or NULL where it is absent or not a string. */
+/* A member's string, or NULL if it is absent or not a string. */
 const char *
-json_text(const json_t *object, const char *key)
+json_get_string(const json_t *object, const char *key)
 {
     return json_string_value(json_object_get(object, key));
 }
 
-/* Whether a member is a string equal to want. */
+/* Whether a member is a string equal to the expected one. */
 bool
-json_text_is(const json_t *object, const char *key, const char *want)
+json_string_equals(const json_t *object, const char *key, const char *expected)
 {
-    const char *have = json_text(object, key);
-    return have != NULL && strcmp(have, want) == 0;
+    const char *value = json_get_string(object, key);
+    return value != NULL && strcmp(value, expected) == 0;
 }
 
 /* A member's integer, or the fallback if it is absent or not an integer. */
 int64_t
-json_int(const json_t *object, const char *key, int64_t fallback)
+json_get_int(const json_t *object, const char *key, int64_t fallback)
 {
     const json_t *value = json_object_get(object, key);
     return json_is_integer(value) ? json_integer_value(value) : fallback;
@@ -242,7 +242,7 @@
 
 /* Whether a member is present and true. */
 bool
-json_flag(const json_t *object, const char *key)
+json_get_bool(const json_t *object, const char *key)
 {
     return json_is_true(json_object_get(object, key));
 }
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -9,10 +9,10 @@
  *
  * Each host keeps one token bucket per workspace on behalf of all reachable
  * hosts: it subtracts what it spends itself and what the others announce.
- * Tokens spent twice before an announcement arrives make the level negative
- * and are paid back, so the error does not accumulate.  Hosts that don't
- * announce may be spending too: the others use only their own share of the
- * limit until the silent hosts expire. */
+ * Units that two hosts spend before an announcement arrives make the level
+ * negative and are repaid by the refill, so the error does not accumulate.
+ * Hosts that don't announce may be spending too: the others use only their own
+ * share of the limit until the silent hosts expire. */
 
 /* Shares of the excess that the bounds allow over a limit.  EXTRA is added to
  * the capacity of each bucket, so that requests within the limit are not
@@ -26,8 +26,9 @@
  * bucket is full; one that exceeds the burst by more than this share of the
  * excess never is. */
 #define OVERSIZE_SHARE 0.5
-/* A host that neither announces nor is confirmed expires after this time.  It
- * is longer than a host that is cut off goes on spending its share. */
+/* A host that neither announces nor is confirmed expires after this time,
+ * which is longer than a host that has been cut off goes on spending its
+ * share. */
 #define HOST_EXPIRY_MS 15000
 /* Number of hosts that is assumed until other hosts are found, or until
  * DISCOVERY_MS have passed without finding one. */
@@ -104,7 +105,7 @@
     quota_t *quota;
     CK_SLIST_FOREACH (quota, &quotas->buckets[workspace % QUOTA_BUCKETS],
                       entry) {
-        if (quota->workspace == workspace) {
+        if (quota->workspace_hash == workspace) {
             return quota;
         }
     }
@@ -152,7 +153,7 @@
     quota_t *quota = find_by_hash(quotas, hash);
     if (quota == NULL) {
         quota = mem_zalloc(sizeof(*quota));
-        quota->workspace = hash;
+        quota->workspace_hash = hash;
         str_copy(quota->name, sizeof(quota->name), workspace);
         quota->limit = *limit;
         set_start_level(quotas, quota, now_ms);
@@ -266,7 +267,8 @@
     return (int64_t)fmax(RETRY_AFTER_MIN_MS, fmin(after, RETRY_AFTER_MAX_MS));
 }
 
-/* Spends the cost of a request if it may run now, else says when to retry. */
+/* Spends the cost of a request if it may run now, else returns when to retry.
+ */
 quota_decision_t
 quota_try_spend(quotas_t *quotas, quota_t *quota, double cost, int64_t now_ms)
 {
@@ -295,7 +297,7 @@
 {
     quota_advance(quotas, quota, now_ms);
     quota->level -= cost;
-    quota->spent += (uint32_t)cost;
+    quota->total_spent += (uint32_t)cost;
 }
 
 /* Gives back the cost of a request that has not run and never will. */
@@ -304,7 +306,7 @@
 {
     quota_spend(quotas, quota, 0, now_ms);
     quota->level += cost;
-    quota->spent -= (uint32_t)cost;
+    quota->total_spent -= (uint32_t)cost;
 }
 
 /* ---- other hosts ---- */
@@ -323,15 +325,15 @@
     quota_host_t *free_slot = NULL;
     for (size_t i = 0; i < QUOTA_HOSTS_MAX; i++) {
         quota_host_t *slot = &quotas->hosts[i];
-        if (slot->host == host) {
+        if (slot->id == host) {
             return slot;
         }
-        if (slot->host == 0 && free_slot == NULL) {
+        if (slot->id == 0 && free_slot == NULL) {
             free_slot = slot;
         }
     }
     if (free_slot != NULL) {
-        *free_slot = (quota_host_t){.host = host};
+        *free_slot = (quota_host_t){.id = host};
         quotas->host_count++;
     }
     return free_slot;
@@ -390,7 +392,7 @@
     int64_t silent = quotas_announce_interval_ms(quotas) * SILENT_INTERVALS;
     for (size_t i = 0; i < QUOTA_HOSTS_MAX; i++) {
         quota_host_t *host = &quotas->hosts[i];
-        if (host->host == 0) {
+        if (host->id == 0) {
             continue;
         }
         if (host->reachable && now_ms - host->received_ms > silent) {
@@ -400,7 +402,7 @@
         }
         if (!host->reachable && now_ms - host->received_ms > HOST_EXPIRY_MS &&
             now_ms - host->confirmed_ms > HOST_EXPIRY_MS) {
-            host->host = 0;
+            host->id = 0;
             quotas->host_count--;
         }
     }
@@ -466,7 +468,7 @@
     }
     quota_report_t *last = &quota->reports[host - quotas->hosts];
     uint32_t since = last->session == host->session
-                         ? usage->total_spent - last->spent
+                         ? usage->total_spent - last->total_spent
                          : usage->recent_spent;
     double delta = (double)(int32_t)since;
     *last = (quota_report_t){usage->total_spent, host->session};
@@ -502,8 +504,8 @@
     for (size_t i = 0; i < QUOTA_BUCKETS; i++) {
         const quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[i], entry) {
-            double unannounced =
-                fabs((double)(int32_t)(quota->spent - quota->announced));
+            double unannounced = fabs((
+                double)(int32_t)(quota->total_spent - quota->announced_spent));
             if (unannounced > UNANNOUNCED_SHARE *
                                   max_excess(quotas, &quota->limit) /
                                   (double)(quotas->host_count + 1)) {
@@ -535,7 +537,7 @@
         size_t bucket = (quotas->next_bucket + i) % QUOTA_BUCKETS;
         quota_t *quota;
         CK_SLIST_FOREACH (quota, &quotas->buckets[bucket], entry) {
-            if (quota->spent == quota->announced) {
+            if (quota->total_spent == quota->announced_spent) {
                 continue;
             }
             if (out->usage_count == PEER_USAGES_MAX) {
@@ -543,9 +545,9 @@
                 return true;
             }
             out->usages[out->usage_count++] =
-                (peer_usage_t){quota->workspace, quota->spent,
-                               quota->spent - quota->announced};
-            quota->announced = quota->spent;
+                (peer_usage_t){quota->workspace_hash, quota->total_spent,
+                               quota->total_spent - quota->announced_spent};
+            quota->announced_spent = quota->total_spent;
         }
     }
     return true;
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -14,7 +14,7 @@
 #define ANSWER_BYTES_MAX (8u << 20)
 /* A server that refuses a request is believed to be full for this long, ms: a
  * few of its batch steps. */
-#define FULL_PAUSE_MS 150
+#define FULL_AFTER_REFUSAL_MS 150
 /* A server's prefill speed is measured with prompts that take long enough to
  * prefill and have almost nothing queued ahead of them.  The first token takes
  * FIRST_TOKEN_MS after the prefill. */
@@ -286,7 +286,7 @@
     server_t *server = request->server;
     int64_t now = time_mono_ms();
     if (head->status != 421) {
-        server->full_until_ms = now + FULL_PAUSE_MS;
+        server->full_until_ms = now + FULL_AFTER_REFUSAL_MS;
         return;
     }
     const header_t *id =
@@ -298,11 +298,11 @@
         exchanges_close_idle(request->relay->exchanges, server->info.addr);
         return;
     }
-    server->full_until_ms = now + FULL_PAUSE_MS;
+    server->full_until_ms = now + FULL_AFTER_REFUSAL_MS;
     probe_server(request->relay, server);
 }
 
-static head_verdict_t
+static head_action_t
 on_head(void *arg, const http_head_t *head)
 {
     request_t *request = arg;
@@ -504,10 +504,10 @@
         case ANSWER_FAILED:
             request->possible_runs++;
             server_record_fault(server, SERVER_FAULT_ERROR, time_mono_ms());
-            request_attempt_failed(request, SEND_FAILED);
+            request_handle_failed_attempt(request, SEND_FAILED);
             return;
         case ANSWER_REFUSED:
-            request_attempt_failed(request, SEND_REJECTED);
+            request_handle_failed_attempt(request, SEND_REJECTED);
             return;
         case ANSWER_NONE:
         case ANSWER_INVALID:
@@ -515,7 +515,7 @@
     }
     request->possible_runs++;
     server_record_fault(server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_attempt_failed(request, SEND_UNKNOWN);
+    request_handle_failed_attempt(request, SEND_UNKNOWN);
 }
 
 static void
@@ -530,7 +530,7 @@
         case EXCHANGE_UNSENT:
             server_record_fault(request->server, SERVER_FAULT_CONNECT,
                                 time_mono_ms());
-            request_attempt_failed(request, SEND_UNSENT);
+            request_handle_failed_attempt(request, SEND_UNSENT);
             return;
         case EXCHANGE_NO_ANSWER:
         case EXCHANGE_BROKEN:
@@ -540,12 +540,12 @@
     }
     /* A refusal counts even if its body was cut off. */
     if (request->answer == ANSWER_REFUSED) {
-        request_attempt_failed(request, SEND_REJECTED);
+        request_handle_failed_attempt(request, SEND_REJECTED);
         return;
     }
     request->possible_runs++;
     server_record_fault(request->server, SERVER_FAULT_BROKEN, time_mono_ms());
-    request_attempt_failed(request, SEND_UNKNOWN);
+    request_handle_failed_attempt(request, SEND_UNKNOWN);
 }
 
 static const exchange_hooks_t hooks = {on_head, on_body, on_end, NULL};
@@ -593,11 +593,11 @@
     }
     if (request->sends++ > 0) {
         relay->meter.retries++;
-        retry_share_spend(&relay->retry_shares, request->service,
-                          request->sent_ms);
+        retry_share_count_retry(&relay->retry_shares, request->service,
+                                request->sent_ms);
     }
     relay->meter.sends++;
-    exchange_request_t ask = {
+    exchange_request_t options = {
         .addr = server->info.addr,
         .head = head.data,
         .head_len = head.len,
@@ -605,7 +605,8 @@
         .body_len = request->body->len,
         .no_response_body = request->head->method == HTTP_HEAD,
         .connect_ms = CONNECT_TIMEOUT_MS};
-    request->exchange = exchange_start(relay->exchanges, &ask, &request_hooks);
+    request->exchange =
+        exchange_start(relay->exchanges, &options, &request_hooks);
     if (request->sends == 1) {
         request->overhead_us = time_mono_us() - request->received_us;
     }
--- a/relay/request.c
+++ b/relay/request.c
@@ -27,12 +27,12 @@
 #define BODY_BYTES_MAX (40u << 20)
 
 /* The caller closed its connection: cancels its request and closes the
- * server's connection, so that the server stops working on the answer. */
+ * connection to the server, so that the server stops working. */
 void
 request_caller_disconnected(request_t *request)
 {
     request->caller = NULL;
-    request->outcome = METER_CALLER_LEFT;
+    request->outcome = METER_CALLER_DISCONNECTED;
     request_end(request, "caller-left");
 }
 
@@ -175,31 +175,31 @@
 
 /* An attempt has failed: retries the request or ends it. */
 void
-request_attempt_failed(request_t *request, send_result_t fate)
+request_handle_failed_attempt(request_t *request, send_result_t result)
 {
     int64_t now = time_mono_ms();
-    retry_state_t ask = {
+    retry_state_t state = {
         .kind = request->route->kind,
         .resumable = request->route->resumable,
         .attempts_max = request->route->attempts,
-        .ran = request->possible_runs,
+        .possible_runs = request->possible_runs,
         .sends = request->sends,
         .answer_started = request->phase == REQUEST_STREAMING,
-        .within_share = retry_share_can_spend(&request->relay->retry_shares,
+        .within_share = retry_share_can_retry(&request->relay->retry_shares,
                                               request->service, now),
         .remaining_ms = request->deadline_ms - now,
     };
-    retry_decision_t verdict = retry_decide(&ask, fate);
+    retry_decision_t decision = retry_decide(&state, result);
     log_record(LOG_WARN, "request", "send-failed",
                "id=%s server=%s fate=%s ran=%d sends=%d share_left=%d "
                "left_ms=%lld verdict=%s status=%d",
                request->id,
                request->server != NULL ? request->server->info.id : "-",
-               send_result_name(fate), ask.ran, ask.sends, ask.within_share,
-               (long long)ask.remaining_ms, retry_decision_name(verdict),
-               request->status);
+               send_result_name(result), state.possible_runs, state.sends,
+               state.within_share, (long long)state.remaining_ms,
+               retry_decision_name(decision), request->status);
     request_release_server(request);
-    switch (verdict) {
+    switch (decision) {
         case RETRY_NOW:
             if (!request_place(request)) {
                 request->placement_deadline_ms =
@@ -233,7 +233,7 @@
     exchange_cancel(request->exchange);
     request->exchange = NULL;
     request->possible_runs += sent ? 1 : 0;
-    request_attempt_failed(request, sent ? SEND_UNKNOWN : SEND_UNSENT);
+    request_handle_failed_attempt(request, sent ? SEND_UNKNOWN : SEND_UNSENT);
 }
 
 /* A server does not answer: fails its requests over to other servers.  Those
@@ -292,10 +292,11 @@
             abandon_attempt(request);
             continue;
         }
-        /* Placement after a first attempt is a retry and needs a share. */
+        /* Placement after a first attempt is a retry and must be within the
+         * share. */
         if (request->server != NULL || now < request->not_before_ms ||
             (request->sends > 0 && now < request->placement_deadline_ms &&
-             !retry_share_can_spend(&relay->retry_shares, request->service,
+             !retry_share_can_retry(&relay->retry_shares, request->service,
                                     now))) {
             continue;
         }
@@ -483,7 +484,7 @@
     request->engine = service != NULL && service->engine;
     if (request->engine) {
         read_prompt(request);
-        request->affinity_key = prompt_home_key(&request->prompt);
+        request->affinity_key = prompt_affinity_key(&request->prompt);
     }
     set_deadlines(request);
     quota_decision_t quota = request_charge_quota(request);
@@ -491,8 +492,8 @@
         refuse_with_status(request, 429, "quota", quota.retry_after_ms);
         return;
     }
-    retry_share_earn(&relay->retry_shares, request->service,
-                     request->received_ms);
+    retry_share_count_request(&relay->retry_shares, request->service,
+                              request->received_ms);
     caller_set_owner(caller, request);
     (void)request_place(request);
 }
--- a/relay/retry-share.h
+++ b/relay/retry-share.h
@@ -9,14 +9,14 @@
 #include <ck_queue.h>
 
 #define RETRY_WINDOW_SLICES 20
-#define RETRY_SLICES_KEPT (RETRY_WINDOW_SLICES + 1)
+#define RETRY_SLICES_MAX (RETRY_WINDOW_SLICES + 1)
 
 typedef struct retry_share {
     CK_SLIST_ENTRY(retry_share) entry;
     char service[CS_NAME_MAX];
-    int64_t newest_slice;                 /* its number, counted from time 0 */
-    unsigned requests[RETRY_SLICES_KEPT]; /* by slice number, as a ring */
-    unsigned retries[RETRY_SLICES_KEPT];  /* by slice number, as a ring */
+    int64_t newest_slice;                /* its number, counted from time 0 */
+    unsigned requests[RETRY_SLICES_MAX]; /* by slice number, as a ring */
+    unsigned retries[RETRY_SLICES_MAX];  /* by slice number, as a ring */
 } retry_share_t;
 
 typedef struct {
@@ -40,11 +40,11 @@
 void retry_shares_init(retry_shares_t *shares, double ratio,
                        int64_t window_ms);
 void retry_shares_free(retry_shares_t *shares);
-void retry_share_earn(retry_shares_t *shares, const char *service,
-                      int64_t now_ms);
-bool retry_share_can_spend(retry_shares_t *shares, const char *service,
+void retry_share_count_request(retry_shares_t *shares, const char *service,
+                               int64_t now_ms);
+bool retry_share_can_retry(retry_shares_t *shares, const char *service,
                            int64_t now_ms);
-void retry_share_spend(retry_shares_t *shares, const char *service,
-                       int64_t now_ms);
+void retry_share_count_retry(retry_shares_t *shares, const char *service,
+                             int64_t now_ms);
 
 #endif
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -82,7 +82,7 @@
 tick_member(fleet_t *fleet, size_t i, int64_t generation)
 {
     member_outbox_t *out = mem_zalloc(sizeof(*out));
-    members_tick(fleet->tables[i], fleet->now_ms, generation, MEMBER_LIVE,
+    members_tick(fleet->tables[i], fleet->now_ms, generation, MEMBER_SERVING,
                  out);
     deliver(fleet, out, 0);
     free(out);
@@ -281,7 +281,7 @@
 {
     static fleet_t fleet;
     const size_t count = 100;
-    bool taken[100] = {false};
+    bool rank_assigned[100] = {false};
     fleet_start(&fleet, count);
     (void)ticks_to_discover_all(&fleet);
     for (int i = 0; i < 60; i++) {
@@ -290,8 +290,8 @@
     for (size_t i = 0; i < count; i++) {
         size_t rank = members_duty_rank(fleet.tables[i], "orders");
         ck_assert_uint_lt(rank, count);
-        ck_assert(!taken[rank]);
-        taken[rank] = true;
+        ck_assert(!rank_assigned[rank]);
+        rank_assigned[rank] = true;
     }
     fleet_stop(&fleet);
 }
@@ -367,7 +367,7 @@
     ck_assert_int_eq(peer_decode(&out, secret, data, len), 0);
     ck_assert_uint_eq(out.load_count, PEER_LOADS_MAX);
     ck_assert_int_eq(memcmp(out.loads, datagram.loads, sizeof(out.loads)), 0);
-    /* Truncated ones are never read past their end. */
+    /* Truncated datagrams are never read past their end. */
     rng_t rng = {7};
     for (int i = 0; i < 2000; i++) {
         (void)peer_decode(&out, secret, data, rng_below(&rng, len));
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -35,12 +35,12 @@
     sim_datagram_t in_flight[DATAGRAMS_MAX];
     size_t in_flight_count;
     quota_limit_t limit;
-    double load;        /* units requested a ms, of all hosts */
-    double skew;        /* share of the load that the first host gets */
-    unsigned lost;      /* datagrams of a hundred */
-    double large;       /* units of the largest request */
-    double run[RUN_MS]; /* units allowed in each ms */
-    double exact;       /* level of the exact bucket */
+    double load;            /* units requested a ms, of all hosts */
+    double skew;            /* share of the load that the first host gets */
+    unsigned loss_percent;  /* share of datagrams that are lost */
+    double large;           /* units of the largest request */
+    double allowed[RUN_MS]; /* units allowed in each ms */
+    double exact;           /* level of the exact bucket */
     double requested;
     double within_limit;     /* units that the exact bucket allows */
     double wrongly_rejected; /* units within the limit that were rejected */
@@ -73,7 +73,7 @@
     sim->limit = (quota_limit_t){rate, rate};
     sim->exact = rate;
     sim->rng.state = seed;
-    sim->lost = 1;
+    sim->loss_percent = 1;
     sim->large = 12000;
     for (size_t i = 0; i < hosts; i++) {
         quotas_init(&sim->quotas[i], &bounds, 1, 0);
@@ -96,7 +96,7 @@
 {
     for (size_t to = 0; to < sim->hosts; to++) {
         if (to == from || sim->group[to] != sim->group[from] ||
-            rng_below(&sim->rng, 100) < sim->lost) {
+            rng_below(&sim->rng, 100) < sim->loss_percent) {
             continue;
         }
         ck_assert_uint_lt(sim->in_flight_count, DATAGRAMS_MAX);
@@ -165,7 +165,7 @@
     sim->exact -= within_limit ? cost : 0;
     sim->within_limit += within_limit ? cost : 0;
     sim->wrongly_rejected += within_limit && !allowed ? cost : 0;
-    sim->run[now] += allowed ? cost : 0;
+    sim->allowed[now] += allowed ? cost : 0;
 }
 
 /* Runs the simulation from one moment to another. */
@@ -234,8 +234,8 @@
     double sum = 0;
     double highest = 0;
     for (int64_t ms = 0; ms < RUN_MS; ms++) {
-        sum += sim->run[ms];
-        sum -= ms >= WINDOW_MS ? sim->run[ms - WINDOW_MS] : 0;
+        sum += sim->allowed[ms];
+        sum -= ms >= WINDOW_MS ? sim->allowed[ms - WINDOW_MS] : 0;
         highest = sum > highest ? sum : highest;
     }
     return highest / allowed;
@@ -279,7 +279,7 @@
             ck_assert_double_le(worst_window(sim), 1);
             double ran = 0;
             for (int64_t ms = 16000; ms < 28000; ms++) {
-                ran += sim->run[ms];
+                ran += sim->allowed[ms];
             }
             ck_assert_double_ge(ran, 0.95 * rates[i] * 12);
             sim_free(sim);
@@ -427,12 +427,12 @@
                                      .incarnation = 5,
                                      .sequence = 3,
                                      .usage_count = 1};
-    second.usages[0] = (peer_usage_t){quota->workspace, 400, 400};
+    second.usages[0] = (peer_usage_t){quota->workspace_hash, 400, 400};
     static peer_datagram_t late = {.kind = PEER_USAGES,
                                    .incarnation = 5,
                                    .sequence = 2,
                                    .usage_count = 1};
-    late.usages[0] = (peer_usage_t){quota->workspace, 300, 300};
+    late.usages[0] = (peer_usage_t){quota->workspace_hash, 300, 300};
     double before = quota->level;
     quotas_apply(&quotas, 7, &second, 30000);
     quotas_apply(&quotas, 7, &second, 30000);
@@ -458,12 +458,12 @@
     quotas_config_set(&quotas, WORKSPACE, &limit, 20000);
     quotas_config_end(&quotas);
     quota_t *quota = quotas_find(&quotas, WORKSPACE);
-    datagram.usages[0] = (peer_usage_t){quota->workspace, 10, 10};
+    datagram.usages[0] = (peer_usage_t){quota->workspace_hash, 10, 10};
     quotas_apply(&quotas, 7, &datagram, 20000);
     double before = quota->level;
     datagram.incarnation = 400;
     datagram.sequence = 1;
-    datagram.usages[0] = (peer_usage_t){quota->workspace, 300, 300};
+    datagram.usages[0] = (peer_usage_t){quota->workspace_hash, 300, 300};
     quotas_apply(&quotas, 7, &datagram, 20000);
     ck_assert_double_eq_tol(quota->level, before - 300, 0.001);
     datagram.incarnation = 500;
@@ -479,7 +479,7 @@
 START_TEST(a_refund_reaches_other_hosts)
 {
     sim_t *sim = sim_new(2, 10000, 1);
-    sim->lost = 0;
+    sim->loss_percent = 0;
     sim_run(sim, 0, 21000);
     quota_t *here = quotas_find(&sim->quotas[0], WORKSPACE);
     quota_t *there = quotas_find(&sim->quotas[1], WORKSPACE);
@@ -491,7 +491,7 @@
     sim_run(sim, 21250, 23000);
     ck_assert_double_eq_tol(quota_available(&sim->quotas[1], there, 23000),
                             full, 1);
-    ck_assert_uint_eq(here->spent, 0);
+    ck_assert_uint_eq(here->total_spent, 0);
     sim_free(sim);
 }
 END_TEST
