--- a/kernel/call-dispatch.c
+++ b/kernel/call-dispatch.c
@@ -10,7 +10,8 @@
  * fair among workspaces and lets a waiting call go to another server. */
 
 #define QUEUE_CALLS_MAX 1000
-#define BACKLOG_MAX_MS 100.0
+/* Prefill time queued at one server, divided among all daemons. */
+#define SERVER_BACKLOG_MAX_MS 100.0
 #define REPORTED_BACKLOG_RATIO 4.0
 #define PLACED_AGAIN_PER_TICK_MAX 4
 #define PLACE_AGAIN_AFTER_MS 100
@@ -114,16 +115,16 @@
 /* List the servers that can take a call.  For a chat, version is set to the
  * weights version to use and the prefix is computed for it. */
 static size_t
-list_candidates(call_t *call, const place_context_t *scene,
+list_candidates(call_t *call, const place_context_t *context,
                 candidate_t *candidates, char version[CS_NAME_MAX])
 {
     static const prefix_t none = {0};
     if (call->kind == CALL_SERVICE) {
-        return place_list_candidates(scene, call->target, &none, NULL,
+        return place_list_candidates(context, call->target, &none, NULL,
                                      candidates, CANDIDATES_MAX);
     }
     chat_t *chat = &call->u.chat;
-    const model_t *model = config_find_model(scene->config, call->target);
+    const model_t *model = config_find_model(context->config, call->target);
     /* A stream that has started stays on its weights version. */
     str_copy(version, CS_NAME_MAX,
              chat->emitted > 0 ? call->version
@@ -131,20 +132,20 @@
                                : "");
     prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                    chat->salt, version);
-    size_t count = place_list_candidates(scene, call->target, &chat->prefix,
+    size_t count = place_list_candidates(context, call->target, &chat->prefix,
                                          version, candidates, CANDIDATES_MAX);
     if (count > 0 || chat->emitted > 0) {
         return count;
     }
     /* Until the first server has loaded a new version, the servers go on with
      * the old one; the prefix is then computed for the old version. */
-    count = place_list_candidates(scene, call->target, &chat->prefix, NULL,
+    count = place_list_candidates(context, call->target, &chat->prefix, NULL,
                                   candidates, CANDIDATES_MAX);
     if (count > 0) {
         str_copy(version, CS_NAME_MAX, candidates[0].version);
         prefix_compute(&chat->prefix, json_object_get(chat->body, "messages"),
                        chat->salt, version);
-        count = place_list_candidates(scene, call->target, &chat->prefix,
+        count = place_list_candidates(context, call->target, &chat->prefix,
                                       version, candidates, CANDIDATES_MAX);
     }
     return count;
@@ -159,20 +160,20 @@
     candidate_t candidates[CANDIDATES_MAX];
     char version[CS_NAME_MAX] = "";
     config_t *config = daemon_config(daemon);
-    place_context_t scene = {.config = config,
-                             .view = daemon->view,
-                             .cache = daemon->cache,
-                             .dc = daemon->settings.dc,
-                             .now_ms = time_mono_ms(),
-                             .wall_ms = time_wall_ms()};
+    place_context_t context = {.config = config,
+                               .view = daemon->view,
+                               .cache = daemon->cache,
+                               .dc = daemon->settings.dc,
+                               .now_ms = time_mono_ms(),
+                               .wall_ms = time_wall_ms()};
     place_query_t input = {.objective = config->objective,
                            .placement_count = __atomic_fetch_add(
                                &daemon->placement_count, 1, __ATOMIC_RELAXED)};
     static const prefix_t none = {0};
     for (unsigned i = 0; i < call->tried_count && i < TRIED_MAX; i++) {
-        scene.excluded[i] = call->tried_names[i];
+        context.excluded[i] = call->tried_names[i];
     }
-    size_t count = list_candidates(call, &scene, candidates, version);
+    size_t count = list_candidates(call, &context, candidates, version);
     for (size_t i = 0; i < count; i++) {
         candidates[i].wait_ms += queue_wait_ms(daemon, candidates[i].id,
                                                candidates[i].prefill_rate);
@@ -220,9 +221,10 @@
     double own_ms =
         state.own_waiting_tokens * 1000.0 / view_prefill_rate(&state);
     double share_ms =
-        BACKLOG_MAX_MS / (double)members_live_count(daemon->members);
-    return own_ms >= share_ms || view_expected_wait_ms(&state) >
-                                     BACKLOG_MAX_MS * REPORTED_BACKLOG_RATIO;
+        SERVER_BACKLOG_MAX_MS / (double)members_live_count(daemon->members);
+    return own_ms >= share_ms ||
+           view_expected_wait_ms(&state) >
+               SERVER_BACKLOG_MAX_MS * REPORTED_BACKLOG_RATIO;
 }
 
 /* Reject a call for which no server was found.  The call's lock is held. */
--- a/kernel/call-service.c
+++ b/kernel/call-service.c
@@ -14,7 +14,7 @@
 #define RECORD_TIMEOUT_MS 600000
 #define OUTCOME_HEADER "X-Celeryspool-Outcome"
 #define SERVICES_PATH "/v1/services/"
-#define KEY_BYTES_MAX 255
+#define IDEMPOTENCY_KEY_BYTES_MAX 255
 #define JSON_TYPE "application/json"
 
 /* One attempt: one exchange with a server of the service. */
@@ -318,7 +318,8 @@
     str_copy(name, len + 1 < sizeof(name) ? len + 1 : sizeof(name), path);
     const service_t *service = config_find_service(config, name);
     http_req_reply_header(req, "X-Celeryspool-Service", name);
-    if (service == NULL || (key != NULL && strlen(key) > KEY_BYTES_MAX)) {
+    if (service == NULL ||
+        (key != NULL && strlen(key) > IDEMPOTENCY_KEY_BYTES_MAX)) {
         http_req_reply_header(req, OUTCOME_HEADER,
                               outcome_name(OUTCOME_NOT_RUN));
         http_req_reply_error(
--- a/kernel/call-stream.c
+++ b/kernel/call-stream.c
@@ -257,8 +257,11 @@
     }
 }
 
+/* Whether the engine's answer means that no server would run the request.  409
+ * and 429 are rejections by this server, see is_rejection(); after 404 and 408
+ * the request is retried or resumed. */
 static bool
-is_client_error(int status)
+is_final_client_error(int status)
 {
     return status >= 400 && status < 500 && status != 404 && status != 408 &&
            status != 409 && status != 429;
@@ -294,7 +297,7 @@
 handle_failure(call_t *call, attempt_t *attempt, http_end_t end, int status)
 {
     bool answered = end == HTTP_END_COMPLETE;
-    if (answered && is_client_error(status)) {
+    if (answered && is_final_client_error(status)) {
         call_fail(call, status, "refused_by_engine", OUTCOME_NOT_RUN,
                   buf_text(&attempt->error));
         return;
--- a/kernel/claim-shard.c
+++ b/kernel/claim-shard.c
@@ -183,8 +183,9 @@
     if (is_own && !json_text_is(current, "s", "claim")) {
         return CLAIM_RECORDED;
     }
-    /* If the claim is not in the log, the entry that it did not run is still
-     * written once, because that write fences a lost write of the claim. */
+    /* The claim may have been written although its answer was lost.  A not-run
+     * entry is therefore written anyway: it changes the head's version, so a
+     * late write of the claim fails. */
     if (!is_own && !op->may_be_written) {
         return CLAIM_RECORDED;
     }
--- a/kernel/command.c
+++ b/kernel/command.c
@@ -167,8 +167,8 @@
         is_text ? json_string(separator + 1) : parse_value(separator + 1));
 }
 
-/* Parse the words from one on as FIELD=VALUE.  Returns NULL with an error on
- * failure. */
+/* Parses the words with index from and above as FIELD=VALUE.  Returns NULL and
+ * sets an error on failure. */
 json_t *
 command_fields(command_context_t *context, size_t from)
 {
--- a/kernel/feed.c
+++ b/kernel/feed.c
@@ -117,8 +117,9 @@
 }
 
 /* Applies cache events in order.  Missing event numbers are not requested
- * again: a wrong entry costs one recomputation, and the usage in the answer
- * corrects it. */
+ * again: a wrong entry costs one prefill, and the map is corrected when that
+ * chat ends.  After a server restart the batch is skipped, and events are read
+ * again from 0. */
 static void
 apply_events(celeryspoold_t *daemon, const char *backend, const json_t *body)
 {
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -167,8 +167,9 @@
                   log_level_names[level], log_process, part, text);
 }
 
-/* Write a message: one line on standard error with time, level, process and
- * part, or a record with the message as its text field. */
+/* Writes a message: one line on standard error with time, level, process and
+ * part or, after log_setup_records, a record of event "note" with the message
+ * as its text field. */
 void
 log_msg(log_level_t level, const char *part, const char *fmt, ...)
 {
--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -119,8 +119,8 @@
     return a->health > b->health;
 }
 
-/* Refutes a record that has this daemon as suspect or dead, by a higher
- * version of its own record. */
+/* If a record reports this daemon as suspect or dead, raises the version of
+ * its own record above it, which overrides the report. */
 static void
 refute(members_t *members, const member_t *record)
 {
--- a/kernel/members-table.h
+++ b/kernel/members-table.h
@@ -6,7 +6,7 @@
 #include "tables.h"
 
 #define TICK_MS 250     /* two ticks make a round */
-#define GOSSIP_FACTOR 3 /* times the logarithm of the member count */
+#define GOSSIP_FACTOR 3 /* a record is sent 3 * log2(member count) times */
 #define RELAYED_PINGS_MAX 32
 #define SEEDS_MAX 512 /* further members are found by gossip */
 
@@ -31,7 +31,7 @@
 struct members {
     pthread_mutex_t lock;
     member_t self;
-    unsigned self_gossip_left; /* not read: every message carries self */
+    unsigned self_gossip_left; /* only written: every message carries self */
     member_list_t list;
     size_t count;
     rng_t rng;
--- a/kernel/resume.c
+++ b/kernel/resume.c
@@ -69,22 +69,23 @@
 static bool
 parse_token(resume_t *resume, char *text)
 {
-    char ask[17];
+    char hash_text[17];
     char *rest = text;
     if (!next_line(&rest, resume->workspace, sizeof(resume->workspace)) ||
         !next_line(&rest, resume->backend, sizeof(resume->backend)) ||
         !next_line(&rest, resume->incarnation, sizeof(resume->incarnation)) ||
         !next_line(&rest, resume->stream, sizeof(resume->stream)) ||
         !next_line(&rest, resume->version, sizeof(resume->version)) ||
-        !next_line(&rest, ask, sizeof(ask))) {
+        !next_line(&rest, hash_text, sizeof(hash_text))) {
         return false;
     }
-    resume->prompt_hash = strtoull(ask, NULL, 16);
+    resume->prompt_hash = strtoull(hash_text, NULL, 16);
     return true;
 }
 
-/* Open "TOKEN.OFFSET".  A token that was sealed with another key or has been
- * changed is an error. */
+/* Verifies and decodes "TOKEN.OFFSET"; fails if the MAC does not match: the
+ * token was changed or made with another key.  The MAC does not cover the
+ * offset. */
 int
 resume_open(resume_t *resume, const unsigned char *secret, const char *text,
             uint32_t *offset, err_t *err)
--- a/kernel/route.c
+++ b/kernel/route.c
@@ -71,7 +71,7 @@
 not_ready_reason(celeryspoold_t *daemon)
 {
     LOCK_SCOPE(&daemon->config_lock);
-    int64_t silence_ms = time_mono_ms() - daemon->config_confirmed_ms;
+    int64_t since_confirmed_ms = time_mono_ms() - daemon->config_confirmed_ms;
     switch (daemon_state(daemon)) {
         case STATE_WARMING:
             return "warming";
@@ -80,7 +80,7 @@
         case STATE_READY:
             break;
     }
-    return silence_ms > CONTACT_TIMEOUT_MS
+    return since_confirmed_ms > CONTACT_TIMEOUT_MS
                ? "cut off from the platform and all peers"
                : NULL;
 }
--- a/kernel/settings.c
+++ b/kernel/settings.c
@@ -6,16 +6,16 @@
 #include <string.h>
 
 typedef enum {
-    TYPE_NAME,
-    TYPE_TEXT,
-    TYPE_ADDR,
-    TYPE_ADDRS,
-    TYPE_SECRET,
-    TYPE_LEVEL,
-    TYPE_MODE,
-    TYPE_OBJECTIVE,
-    TYPE_REAL,
-    TYPE_INT
+    SETTING_NAME,
+    SETTING_TEXT,
+    SETTING_ADDR,
+    SETTING_ADDRS,
+    SETTING_SECRET,
+    SETTING_LEVEL,
+    SETTING_MODE,
+    SETTING_OBJECTIVE,
+    SETTING_REAL,
+    SETTING_INT
 } setting_type_t;
 
 typedef struct {
@@ -36,91 +36,93 @@
 #define SIZE_OF(field) sizeof(((settings_t *)NULL)->field)
 
 static const setting_t setting_list[] = {
-    {"daemon", "name", TYPE_NAME, OFFSET_OF(name), SIZE_OF(name), 0, 0,
+    {"daemon", "name", SETTING_NAME, OFFSET_OF(name), SIZE_OF(name), 0, 0,
      MODE_BOTH, true, NULL, "name of this daemon, unique in the deployment"},
-    {"daemon", "dc", TYPE_NAME, OFFSET_OF(dc), SIZE_OF(dc), 0, 0, MODE_BOTH,
+    {"daemon", "dc", SETTING_NAME, OFFSET_OF(dc), SIZE_OF(dc), 0, 0, MODE_BOTH,
      true, NULL, "data centre of this host"},
-    {"daemon", "log_level", TYPE_LEVEL, OFFSET_OF(log_level), 0, 0, 0,
+    {"daemon", "log_level", SETTING_LEVEL, OFFSET_OF(log_level), 0, 0, 0,
      MODE_BOTH, false, "info", "error, warn, info or debug"},
-    {"daemon", "event_log", TYPE_TEXT, OFFSET_OF(event_log),
+    {"daemon", "event_log", SETTING_TEXT, OFFSET_OF(event_log),
      SIZE_OF(event_log), 0, 0, MODE_CHAT, false, "",
      "file for events; empty keeps them in memory only"},
-    {"daemon", "grace_ms", TYPE_INT, OFFSET_OF(shutdown_grace_ms), 0, 0,
+    {"daemon", "grace_ms", SETTING_INT, OFFSET_OF(shutdown_grace_ms), 0, 0,
      600000, MODE_CHAT, false, "2000",
      "how long a stopping daemon still accepts requests, so that the "
      "balancer can remove it"},
-    {"listen", "http", TYPE_ADDR, OFFSET_OF(http_addr), SIZE_OF(http_addr), 0,
-     0, MODE_BOTH, true, NULL, "address for callers and operators"},
-    {"listen", "peer", TYPE_ADDR, OFFSET_OF(peer_addr), SIZE_OF(peer_addr), 0,
-     0, MODE_BOTH, true, NULL, "address for other daemons, TCP and UDP"},
-    {"listen", "http_threads", TYPE_INT, OFFSET_OF(http_threads), 0, 1, 64,
+    {"listen", "http", SETTING_ADDR, OFFSET_OF(http_addr), SIZE_OF(http_addr),
+     0, 0, MODE_BOTH, true, NULL, "address for callers and operators"},
+    {"listen", "peer", SETTING_ADDR, OFFSET_OF(peer_addr), SIZE_OF(peer_addr),
+     0, 0, MODE_BOTH, true, NULL, "address for other daemons, TCP and UDP"},
+    {"listen", "http_threads", SETTING_INT, OFFSET_OF(http_threads), 0, 1, 64,
      MODE_CHAT, false, "2", "threads that serve callers"},
-    {"listen", "connections", TYPE_INT, OFFSET_OF(connections_max), 0, 16,
+    {"listen", "connections", SETTING_INT, OFFSET_OF(connections_max), 0, 16,
      100000, MODE_CHAT, false, "8000",
      "maximum number of open caller connections"},
-    {"listen", "body_kib", TYPE_INT, OFFSET_OF(body_max_kib), 0, 1, 65536,
+    {"listen", "body_kib", SETTING_INT, OFFSET_OF(body_max_kib), 0, 1, 65536,
      MODE_CHAT, false, "1024", "maximum size of a request body"},
-    {"listen", "idle_seconds", TYPE_INT, OFFSET_OF(idle_timeout_s), 0, 1, 3600,
-     MODE_CHAT, false, "30",
+    {"listen", "idle_seconds", SETTING_INT, OFFSET_OF(idle_timeout_s), 0, 1,
+     3600, MODE_CHAT, false, "30",
      "idle time after which a caller's connection is closed"},
-    {"relay", "threads", TYPE_INT, OFFSET_OF(relay_threads), 0, 1, 64,
+    {"relay", "threads", SETTING_INT, OFFSET_OF(relay_threads), 0, 1, 64,
      MODE_CHAT, false, "2",
      "threads that handle connections to backend servers"},
-    {"relay", "silence_ms", TYPE_INT, OFFSET_OF(stream_silence_max_ms), 0, 50,
-     60000, MODE_CHAT, false, "500",
+    {"relay", "silence_ms", SETTING_INT, OFFSET_OF(stream_silence_max_ms), 0,
+     50, 60000, MODE_CHAT, false, "500",
      "silence of a stream after which its backend server is probed"},
-    {"platform", "store", TYPE_ADDR, OFFSET_OF(store_addr),
+    {"platform", "store", SETTING_ADDR, OFFSET_OF(store_addr),
      SIZE_OF(store_addr), 0, 0, MODE_BOTH, true, NULL,
      "address of the platform's object API"},
-    {"platform", "timeout_ms", TYPE_INT, OFFSET_OF(store_timeout_ms), 0, 10,
+    {"platform", "timeout_ms", SETTING_INT, OFFSET_OF(store_timeout_ms), 0, 10,
      60000, MODE_CHAT, false, "500", "timeout of one call to the platform"},
-    {"peers", "seeds", TYPE_ADDRS, OFFSET_OF(seeds), 0, 0, 0, MODE_BOTH, false,
-     "", "addresses of the first peers to contact, separated by commas"},
-    {"keys", "secret", TYPE_SECRET, OFFSET_OF(secret), 0, 0, 0, MODE_CHAT,
+    {"peers", "seeds", SETTING_ADDRS, OFFSET_OF(seeds), 0, 0, 0, MODE_BOTH,
+     false, "",
+     "addresses of the first peers to contact, separated by commas"},
+    {"keys", "secret", SETTING_SECRET, OFFSET_OF(secret), 0, 0, 0, MODE_CHAT,
      true, NULL, "64 hexadecimal digits, the same in the whole deployment"},
-    {"keys", "operator", TYPE_TEXT, OFFSET_OF(operator_key),
+    {"keys", "operator", SETTING_TEXT, OFFSET_OF(operator_key),
      SIZE_OF(operator_key), 0, 0, MODE_CHAT, true, NULL,
      "bearer key of the first operator"},
-    {"daemon", "mode", TYPE_MODE, OFFSET_OF(mode), 0, 0, 0, MODE_BOTH, false,
-     "chat",
+    {"daemon", "mode", SETTING_MODE, OFFSET_OF(mode), 0, 0, 0, MODE_BOTH,
+     false, "chat",
      "chat: the product's own interface; relay: the router on the users' "
      "platform"},
-    {"listen", "ready", TYPE_ADDR, OFFSET_OF(ready_addr), SIZE_OF(ready_addr),
-     0, 0, MODE_RELAY, true, NULL,
+    {"listen", "ready", SETTING_ADDR, OFFSET_OF(ready_addr),
+     SIZE_OF(ready_addr), 0, 0, MODE_RELAY, true, NULL,
      "address for the balancer's readiness check"},
-    {"listen", "metrics", TYPE_ADDR, OFFSET_OF(metrics_addr),
+    {"listen", "metrics", SETTING_ADDR, OFFSET_OF(metrics_addr),
      SIZE_OF(metrics_addr), 0, 0, MODE_RELAY, true, NULL,
      "address for counters and histograms, as text"},
-    {"relay", "objective", TYPE_OBJECTIVE, OFFSET_OF(objective), 0, 0, 0,
+    {"relay", "objective", SETTING_OBJECTIVE, OFFSET_OF(objective), 0, 0, 0,
      MODE_RELAY, false, "tail",
      "what placement optimizes first: tail (latency) or hits (cache hits)"},
-    {"relay", "stop_s", TYPE_REAL, OFFSET_OF(stop_timeout_s), 0, 1, 3600,
+    {"relay", "stop_s", SETTING_REAL, OFFSET_OF(stop_timeout_s), 0, 1, 3600,
      MODE_RELAY, true, NULL,
      "seconds from the stop signal until the process is killed"},
-    {"relay", "hosts", TYPE_INT, OFFSET_OF(hosts_min), 0, 1, 10000, MODE_RELAY,
-     false, "4", "minimum number of daemons that retry_slack is divided by"},
-    {"relay", "retry_ratio", TYPE_REAL, OFFSET_OF(retry_ratio), 0, 0, 1,
+    {"relay", "hosts", SETTING_INT, OFFSET_OF(hosts_min), 0, 1, 10000,
+     MODE_RELAY, false, "4",
+     "minimum number of daemons that retry_slack is divided by"},
+    {"relay", "retry_ratio", SETTING_REAL, OFFSET_OF(retry_ratio), 0, 0, 1,
      MODE_RELAY, true, NULL, "retries allowed per request, as a fraction"},
-    {"relay", "retry_slack", TYPE_REAL, OFFSET_OF(retry_slack), 0, 0, 1000000,
-     MODE_RELAY, true, NULL,
+    {"relay", "retry_slack", SETTING_REAL, OFFSET_OF(retry_slack), 0, 0,
+     1000000, MODE_RELAY, true, NULL,
      "additional retries of all daemons together in a window"},
-    {"relay", "retry_window_s", TYPE_REAL, OFFSET_OF(retry_window_s), 0, 1,
+    {"relay", "retry_window_s", SETTING_REAL, OFFSET_OF(retry_window_s), 0, 1,
      3600, MODE_RELAY, true, NULL,
      "length of the window that retries are counted in, seconds"},
-    {"relay", "quota_window_s", TYPE_REAL, OFFSET_OF(quota_window_s), 0, 1,
+    {"relay", "quota_window_s", SETTING_REAL, OFFSET_OF(quota_window_s), 0, 1,
      3600, MODE_RELAY, false, "8",
      "length of the window that workspaces' limits are checked over, "
      "seconds"},
-    {"relay", "quota_overage", TYPE_REAL, OFFSET_OF(quota_overage), 0, 0, 10,
-     MODE_RELAY, false, "0.1",
+    {"relay", "quota_overage", SETTING_REAL, OFFSET_OF(quota_overage), 0, 0,
+     10, MODE_RELAY, false, "0.1",
      "fraction by which all daemons together may exceed a limit in a window"},
-    {"relay", "quota_slack", TYPE_REAL, OFFSET_OF(quota_slack), 0, 0,
+    {"relay", "quota_slack", SETTING_REAL, OFFSET_OF(quota_slack), 0, 0,
      100000000, MODE_RELAY, false, "0",
      "additional units by which a limit may be exceeded in a window"},
-    {"relay", "lease_ms", TYPE_REAL, OFFSET_OF(lease_ms), 0, 100, 600000,
+    {"relay", "lease_ms", SETTING_REAL, OFFSET_OF(lease_ms), 0, 100, 600000,
      MODE_RELAY, true, NULL, "duration of the rollout leader's lease"},
-    {"relay", "weights_ms", TYPE_REAL, OFFSET_OF(old_weights_max_ms), 0, 100,
-     3600000, MODE_RELAY, true, NULL,
+    {"relay", "weights_ms", SETTING_REAL, OFFSET_OF(old_weights_max_ms), 0,
+     100, 3600000, MODE_RELAY, true, NULL,
      "how long older weights may begin answers after newer are published"},
 };
 #define SETTINGS_COUNT (sizeof(setting_list) / sizeof(setting_list[0]))
@@ -271,48 +273,48 @@
     char *field = (char *)settings + entry->offset;
     bool fits = strlen(value) < entry->size;
     switch (entry->type) {
-        case TYPE_NAME:
+        case SETTING_NAME:
             if (!str_is_name(value)) {
                 return "1 to 63 letters, digits, dashes, dots, underscores";
             }
             str_copy(field, entry->size, value);
             return NULL;
-        case TYPE_TEXT:
+        case SETTING_TEXT:
             if (!fits || (entry->required && value[0] == '\0')) {
                 return "a non-empty text that is not too long";
             }
             str_copy(field, entry->size, value);
             return NULL;
-        case TYPE_ADDR:
+        case SETTING_ADDR:
             if (!addr_is_valid(value) || !fits) {
                 return "IPV4:PORT";
             }
             str_copy(field, entry->size, value);
             return NULL;
-        case TYPE_ADDRS:
+        case SETTING_ADDRS:
             return parse_addrs(settings, value)
                        ? NULL
                        : "up to 16 of IPV4:PORT, separated by commas";
-        case TYPE_SECRET:
+        case SETTING_SECRET:
             return parse_secret(value, (unsigned char *)field)
                        ? NULL
                        : "64 hexadecimal digits";
-        case TYPE_LEVEL:
+        case SETTING_LEVEL:
             settings->log_level = log_level_parse(value);
             return settings->log_level < 0 ? "error, warn, info or debug"
                                            : NULL;
-        case TYPE_MODE:
+        case SETTING_MODE:
             settings->mode = parse_mode(value);
             return settings->mode == 0 ? "chat or relay" : NULL;
-        case TYPE_OBJECTIVE:
+        case SETTING_OBJECTIVE:
             settings->objective = strcmp(value, "hits") == 0;
             return settings->objective || strcmp(value, "tail") == 0
                        ? NULL
                        : "tail or hits";
-        case TYPE_REAL:
+        case SETTING_REAL:
             return parse_real(entry, value, (double *)field) ? NULL
                                                              : "a number";
-        case TYPE_INT:
+        case SETTING_INT:
             return parse_int(entry, value, (int *)field) ? NULL : "an integer";
     }
     return "nothing";
@@ -322,16 +324,16 @@
 report_invalid(reader_t *reader, const setting_t *entry, const char *value,
                const char *allowed)
 {
-    if (entry->type == TYPE_INT || entry->type == TYPE_REAL) {
+    if (entry->type == SETTING_INT || entry->type == SETTING_REAL) {
         report_problem(reader, reader->line,
                        "%s = %s is invalid; expected: %s from %d to %d",
                        entry->key, value, allowed, entry->min, entry->max);
         return;
     }
     /* The message may be logged, so it must not contain a secret. */
-    report_problem(reader, reader->line, "%s = %s is invalid; expected: %s",
-                   entry->key, entry->type == TYPE_SECRET ? "(hidden)" : value,
-                   allowed);
+    report_problem(
+        reader, reader->line, "%s = %s is invalid; expected: %s", entry->key,
+        entry->type == SETTING_SECRET ? "(hidden)" : value, allowed);
 }
 
 static int
--- a/plugins/policy-cost.c
+++ b/plugins/policy-cost.c
@@ -15,7 +15,7 @@
 #define RECOMPUTE_WEIGHT_HITS 3.0
 #define PREFERRED_COST_RATIO 0.5
 #define REMOTE_DC_COST_MS 1.0
-#define SERVICE_MIN_MS 10.0
+#define SERVICE_TIME_MIN_MS 10.0
 #define FACTOR_MAX 12.0
 #define CANDIDATES_SORTED_MAX 256
 
@@ -40,9 +40,9 @@
     return (x > y) - (x < y);
 }
 
-/* Estimates 1/(1 - utilisation).  Uses the median wait, so that one server
- * overloaded by a popular prefix does not keep the prefix from being cached by
- * others. */
+/* Estimates 1/(1 - utilisation).  Uses the median wait: with the mean, one
+ * overloaded server would raise the cost of recomputation everywhere, and a
+ * popular prefix would never be placed on a second server. */
 static double
 utilisation_factor(const candidate_t *candidates, size_t count,
                    const prefix_t *prefix)
@@ -56,7 +56,8 @@
         waits[i] = candidates[i].wait_ms;
         service_ms = prefill_ms < service_ms ? prefill_ms : service_ms;
     }
-    service_ms = service_ms < SERVICE_MIN_MS ? SERVICE_MIN_MS : service_ms;
+    service_ms =
+        service_ms < SERVICE_TIME_MIN_MS ? SERVICE_TIME_MIN_MS : service_ms;
     qsort(waits, sampled, sizeof(double), compare_waits);
     double factor = 1.0 + waits[(sampled - 1) / 2] / service_ms;
     return factor > FACTOR_MAX ? FACTOR_MAX : factor;
--- a/relay/admit.c
+++ b/relay/admit.c
@@ -1,16 +1,16 @@
 #include "admit.h"
 
-/* Handles overload: requests for engines arrive faster than engines can read
- * their prompts, for example while two of nine servers are unreachable and
- * others load weights.  If all were admitted, all would be late, and prompts
- * with a short timeout would be read for nothing.  Rejecting some at once with
- * a retry-after keeps the admitted ones within their target. */
+/* Handles overload: requests for engines arrive faster than engines can
+ * prefill their prompts, for example while two of nine servers are unreachable
+ * and others load weights.  If all were admitted, all would be late, and
+ * prompts with a short timeout would be prefilled for nothing.  Rejecting some
+ * at once with a retry-after keeps the admitted ones within their target. */
 
 /* Share of the target within which the first answer must be expected.  The
  * rest is left for the network and the hosts. */
 #define TARGET_SHARE 0.9
 /* A request is not rejected for its target while the wait is below this share
- * of it.  Without this, prompts that take most of the target to read would
+ * of it.  Without this, prompts whose prefill takes most of the target would
  * never be served. */
 #define ADMIT_WAIT_SHARE 0.35
 /* Share of the remaining time that the expected time may take: half of the
--- a/relay/admit.h
+++ b/relay/admit.h
@@ -7,7 +7,7 @@
 
 typedef struct {
     double wait_ms;    /* expected queueing time at the best server */
-    double prefill_ms; /* expected time to read the prompt after that */
+    double prefill_ms; /* expected prefill time after that */
     double margin_ms;  /* excess over the estimate that covers most answers */
     int target_ms;     /* latest time to the first answer */
     int64_t remaining_ms; /* until the request times out */
--- a/relay/cache-follow.c
+++ b/relay/cache-follow.c
@@ -34,7 +34,7 @@
 
 typedef struct follow {
     CK_LIST_ENTRY(follow) entry;
-    cache_follower_t *follows;
+    cache_follower_t *follower;
     char holder[CS_NAME_MAX]; /* a server's id or a kv store's name */
     char addr[CS_ADDR_MAX];
     cached_parts_t *unrequested; /* held parts that no known request has */
@@ -68,20 +68,20 @@
 on_event(void *arg, const cache_event_t *event)
 {
     const follow_t *follow = arg;
-    cache_event_apply(follow->follows->relay, follow->unrequested,
+    cache_event_apply(follow->follower->relay, follow->unrequested,
                       follow->holder, event);
 }
 
 /* Records that a request here or at another daemon has a part. */
 void
-cache_follower_part_requested(cache_follower_t *follows, uint64_t key)
+cache_follower_part_requested(cache_follower_t *follower, uint64_t key)
 {
     const follow_t *follow;
-    if (follows == NULL) {
+    if (follower == NULL) {
         return;
     }
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
-        cache_event_note_request(follows->relay, follow->unrequested,
+    CK_LIST_FOREACH (follow, &follower->list, entry) {
+        cache_event_note_request(follower->relay, follow->unrequested,
                                  follow->holder, key);
     }
 }
@@ -156,14 +156,14 @@
     else {
         platform_cache_list_call(&head, follow->addr);
     }
-    follow->fetch = fetch_start(follow->follows->relay->exchanges, &params);
+    follow->fetch = fetch_start(follow->follower->relay->exchanges, &params);
 }
 
 static follow_t *
-follow_find(cache_follower_t *follows, const char *holder)
+follow_find(cache_follower_t *follower, const char *holder)
 {
     follow_t *follow;
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
+    CK_LIST_FOREACH (follow, &follower->list, entry) {
         if (strcmp(follow->holder, holder) == 0) {
             return follow;
         }
@@ -173,49 +173,49 @@
 
 /* Follows a holder if it is assigned to this daemon. */
 static void
-assign_holder(cache_follower_t *follows, const char *holder, const char *addr)
+assign_holder(cache_follower_t *follower, const char *holder, const char *addr)
 {
-    if (!peers_has_duty(follows->relay->peers, holder)) {
+    if (!peers_has_duty(follower->relay->peers, holder)) {
         return;
     }
-    follow_t *follow = follow_find(follows, holder);
+    follow_t *follow = follow_find(follower, holder);
     if (follow == NULL) {
         follow = mem_zalloc(sizeof(*follow));
-        follow->follows = follows;
+        follow->follower = follower;
         follow->unrequested = cached_parts_new();
         cached_parts_set_capacity(follow->unrequested, UNREQUESTED_TOKENS_MAX);
         str_copy(follow->holder, sizeof(follow->holder), holder);
-        CK_LIST_INSERT_HEAD(&follows->list, follow, entry);
+        CK_LIST_INSERT_HEAD(&follower->list, follow, entry);
     }
     if (strcmp(follow->addr, addr) != 0) {
         str_copy(follow->addr, sizeof(follow->addr), addr);
         follow->listed = false;
     }
-    follow->round = follows->round;
+    follow->round = follower->round;
 }
 
 /* Recomputes which caches this daemon follows. */
 static void
-assign_all(cache_follower_t *follows)
+assign_all(cache_follower_t *follower)
 {
-    const relay_t *relay = follows->relay;
+    const relay_t *relay = follower->relay;
     const server_t *server;
     const relay_service_t *service;
     follow_t *follow;
     follow_t *next;
-    follows->round++;
+    follower->round++;
     CK_LIST_FOREACH (server, &relay->servers->list, entry) {
         if (server->info.engine && !server->removed) {
-            assign_holder(follows, server->info.id, server->info.addr);
+            assign_holder(follower, server->info.id, server->info.addr);
         }
     }
     CK_SLIST_FOREACH (service, &relay->config->services, entry) {
         if (service->kv_store) {
-            assign_holder(follows, service->name, service->addr);
+            assign_holder(follower, service->name, service->addr);
         }
     }
-    CK_LIST_FOREACH_SAFE (follow, &follows->list, entry, next) {
-        if (follow->round != follows->round) {
+    CK_LIST_FOREACH_SAFE (follow, &follower->list, entry, next) {
+        if (follow->round != follower->round) {
             follow_free(follow);
         }
     }
@@ -224,20 +224,20 @@
 cache_follower_t *
 cache_follower_new(relay_t *relay)
 {
-    cache_follower_t *follows = mem_zalloc(sizeof(*follows));
-    follows->relay = relay;
-    follows->next_assign_ms = time_mono_ms() + START_DELAY_MS;
-    CK_LIST_INIT(&follows->list);
-    return follows;
+    cache_follower_t *follower = mem_zalloc(sizeof(*follower));
+    follower->relay = relay;
+    follower->next_assign_ms = time_mono_ms() + START_DELAY_MS;
+    CK_LIST_INIT(&follower->list);
+    return follower;
 }
 
 /* Returns the number of caches that this daemon follows. */
 size_t
-cache_follower_cache_count(const cache_follower_t *follows)
+cache_follower_cache_count(const cache_follower_t *follower)
 {
     const follow_t *follow;
     size_t count = 0;
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
+    CK_LIST_FOREACH (follow, &follower->list, entry) {
         count++;
     }
     return count;
@@ -245,18 +245,18 @@
 
 /* Reassigns caches when that is due and starts the calls that are due. */
 void
-cache_follower_tick(cache_follower_t *follows)
+cache_follower_tick(cache_follower_t *follower)
 {
     int64_t now = time_mono_ms();
     follow_t *follow;
-    if (!follows->relay->servers_listed || follows->relay->config == NULL) {
+    if (!follower->relay->servers_listed || follower->relay->config == NULL) {
         return;
     }
-    if (now >= follows->next_assign_ms) {
-        follows->next_assign_ms = now + ASSIGN_INTERVAL_MS;
-        assign_all(follows);
+    if (now >= follower->next_assign_ms) {
+        follower->next_assign_ms = now + ASSIGN_INTERVAL_MS;
+        assign_all(follower);
     }
-    CK_LIST_FOREACH (follow, &follows->list, entry) {
+    CK_LIST_FOREACH (follow, &follower->list, entry) {
         if (follow->fetch == NULL && now >= follow->next_ms) {
             start_call(follow);
         }
--- a/relay/forecast.c
+++ b/relay/forecast.c
@@ -25,7 +25,7 @@
     forecast->spread_ms += WEIGHT * (deviation - forecast->spread_ms);
 }
 
-/* Returns by how many ms most answers at most exceed their expected time. */
+/* Returns an upper bound, in ms, on how late most answers are. */
 double
 forecast_margin_ms(const forecast_t *forecast)
 {
--- a/relay/lease.c
+++ b/relay/lease.c
@@ -122,10 +122,10 @@
 }
 
 /* Takes in the object from an answer to a read or a write.  If it is what this
- * process last tried to write, that write has taken effect.  An earlier write
- * of this process that the store did late must not pass for the last one: the
- * lease would count from a later moment than the successor's wait, and both
- * would act for a while.  The count of writes distinguishes them. */
+ * process last tried to write, that write has taken effect.  A delayed
+ * earlier write must not be mistaken for the last one: this holder would then
+ * count its lease from a later time than its successor does, and both would
+ * act.  The count of writes distinguishes them. */
 void
 lease_observe(lease_t *lease, const lease_record_t *record, int64_t now_ms)
 {
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -15,8 +15,9 @@
 #define LOADS_INTERVAL_MS 50
 #define LOADS_HOSTS_PER_INTERVAL 50
 
-/* Sets this host's share of the retries that all hosts may send besides those
- * that their requests earn. */
+/* Sets this host's part of the retry slack: the fixed number of retries per
+ * window that all hosts together may send in addition to the ratio of their
+ * requests. */
 static void
 update_retry_slack(peers_t *peers, int64_t now)
 {
--- a/relay/probe.c
+++ b/relay/probe.c
@@ -10,8 +10,9 @@
 /* A server is probed at most once per interval, ms. */
 #define PROBE_INTERVAL_MS 200
 #define CONNECT_TIMEOUT_MS 250
-/* An engine reports without a slot, within a few ms; a plain server answers a
- * health check between two of its requests, which take tens of ms. */
+/* A load report needs no slot of the engine and takes a few ms.  A plain
+ * server answers a health check between two of its requests, which take tens
+ * of ms each.  The timeouts leave a wide margin. */
 #define REPORT_TIMEOUT_MS 350
 #define HEALTH_TIMEOUT_MS 600
 
--- a/relay/quota.c
+++ b/relay/quota.c
@@ -26,8 +26,9 @@
  * bucket is full; one that exceeds the burst by more than this share of the
  * excess never is. */
 #define OVERSIZE_SHARE 0.5
-/* A host that neither announces nor is confirmed expires after this time.  It
- * is longer than a host that is cut off goes on spending its share. */
+/* A host expires this long after the later of its last announcement and its
+ * last confirmation by membership or the store's list.  A host that is cut off
+ * stops spending its share sooner than this. */
 #define HOST_EXPIRY_MS 15000
 /* Number of hosts that is assumed until other hosts are found, or until
  * DISCOVERY_MS have passed without finding one. */
--- a/relay/relay-config.h
+++ b/relay/relay-config.h
@@ -49,13 +49,13 @@
     bool kv_store; /* stores cached parts; serves no requests */
     char addr[CS_ADDR_MAX];        /* of a kv_store */
     char dc[CS_NAME_MAX];          /* of a kv_store */
-    char health_path[CS_NAME_MAX]; /* path of the health check */
+    char health_path[CS_NAME_MAX]; /* of plain servers; / if not configured */
     int slots;                     /* of each engine */
     int64_t cache_tokens;    /* capacity of each engine or of a kv_store */
     int64_t bytes_per_token; /* of cached parts; 0: unknown */
     double link_bits_per_ms; /* for transfers of cached parts; 0: unknown */
-    int max_event_calls;     /* most concurrent event calls to a server */
-    int max_connections;     /* of a server, from all callers */
+    int max_event_calls;     /* concurrent, to a server; not enforced */
+    int max_connections;     /* of a server; not enforced */
 } relay_service_t;
 
 /* The unit of a workspace's limit. */
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -77,7 +77,8 @@
 
     relay_config_t *config; /* NULL until the first one was read */
     servers_t *servers;
-    cache_map_t *cache_map; /* holders of each part, prefilling ones too */
+    cache_map_t *cache_map; /* servers and kv stores that have each part, or
+                             * are prefilling it */
     kv_stores_t kv_stores;
     weights_t weights[WEIGHTS_MODELS_MAX];
     size_t weights_count;
--- a/relay/request-place.c
+++ b/relay/request-place.c
@@ -26,7 +26,7 @@
  * sent to them: a request that is queued at the server must still begin
  * within that time. */
 #define OLD_WEIGHTS_SHARE 0.8
-/* Cost of a server that has just refused a request, ms, while it is believed
+/* Cost of a server that has just rejected a request, ms, while it is believed
  * to be full. */
 #define FULL_COST_MS 300.0
 /* Expected number of randomly sampled servers per request. */
@@ -259,8 +259,9 @@
     return servers[best];
 }
 
-/* Chooses a server for a request and sends it there, or refuses the request if
- * all are too busy; false if no server can take it now. */
+/* Sends the request to the best server, or rejects it if the expected time to
+ * its answer there is too long.  False if there is no usable server; the
+ * request then keeps waiting. */
 bool
 request_place(request_t *request)
 {
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -12,7 +12,7 @@
 #define CONNECT_TIMEOUT_MS 250
 /* Largest answer that is buffered until it is complete, bytes. */
 #define ANSWER_BYTES_MAX (8u << 20)
-/* A server that refuses a request is believed to be full for this long, ms: a
+/* A server that rejects a request is believed to be full for this long, ms: a
  * few of its batch steps. */
 #define FULL_PAUSE_MS 150
 /* A server's prefill speed is measured with prompts that take long enough to
@@ -281,7 +281,7 @@
 }
 
 static void
-record_refusal(request_t *request, const http_head_t *head)
+record_rejection(request_t *request, const http_head_t *head)
 {
     server_t *server = request->server;
     int64_t now = time_mono_ms();
@@ -317,7 +317,7 @@
     request->status = head->status;
     switch (request->answer) {
         case ANSWER_REJECTED:
-            record_refusal(request, head);
+            record_rejection(request, head);
             break;
         case ANSWER_BUFFER:
         case ANSWER_FAILED:
@@ -538,7 +538,7 @@
         case EXCHANGE_TIMEOUT:
             break;
     }
-    /* A refusal counts even if its body was cut off. */
+    /* A rejection counts even if its body was cut off. */
     if (request->answer == ANSWER_REJECTED) {
         request_attempt_failed(request, SEND_REJECTED);
         return;
--- a/relay/request.c
+++ b/relay/request.c
@@ -116,7 +116,7 @@
 }
 
 static void
-refuse_with_status(request_t *request, int status, const char *reason,
+reject_with_status(request_t *request, int status, const char *reason,
                    int64_t retry_after_ms)
 {
     caller_t *caller = request->caller;
@@ -133,7 +133,7 @@
 void
 request_reject(request_t *request, const char *reason, int64_t retry_after_ms)
 {
-    refuse_with_status(request, 503, reason, retry_after_ms);
+    reject_with_status(request, 503, reason, retry_after_ms);
 }
 
 /* Tells the caller that the request failed; it may have run. */
@@ -175,7 +175,7 @@
 
 /* An attempt has failed: retries the request or ends it. */
 void
-request_attempt_failed(request_t *request, send_result_t fate)
+request_attempt_failed(request_t *request, send_result_t result)
 {
     int64_t now = time_mono_ms();
     retry_state_t ask = {
@@ -189,13 +189,13 @@
                                               request->service, now),
         .remaining_ms = request->deadline_ms - now,
     };
-    retry_decision_t verdict = retry_decide(&ask, fate);
+    retry_decision_t verdict = retry_decide(&ask, result);
     log_record(LOG_WARN, "request", "send-failed",
                "id=%s server=%s fate=%s ran=%d sends=%d share_left=%d "
                "left_ms=%lld verdict=%s status=%d",
                request->id,
                request->server != NULL ? request->server->info.id : "-",
-               send_result_name(fate), ask.ran, ask.sends, ask.within_share,
+               send_result_name(result), ask.ran, ask.sends, ask.within_share,
                (long long)ask.remaining_ms, retry_decision_name(verdict),
                request->status);
     request_release_server(request);
@@ -257,9 +257,9 @@
     }
 }
 
-/* Whether a request is still queued at a server whose weights may not begin
- * an answer any more.  It was sent in time, but the server was slower than
- * expected; closing the connection removes it from the server's queue. */
+/* Whether a request was sent to a server whose weights are by now too old to
+ * start an answer on, and the answer has not started.  The server was slower
+ * than expected; closing the connection removes the request from its queue. */
 static bool
 is_queued_on_expired_weights(const request_t *request)
 {
@@ -488,7 +488,7 @@
     set_deadlines(request);
     quota_decision_t quota = request_charge_quota(request);
     if (!quota.allowed) {
-        refuse_with_status(request, 429, "quota", quota.retry_after_ms);
+        reject_with_status(request, 429, "quota", quota.retry_after_ms);
         return;
     }
     retry_share_earn(&relay->retry_shares, request->service,
--- a/relay/request.h
+++ b/relay/request.h
@@ -21,7 +21,7 @@
     ANSWER_NONE,     /* its head has not been received */
     ANSWER_BUFFER,   /* passed to the caller when it is complete */
     ANSWER_STREAM,   /* passed to the caller event by event */
-    ANSWER_FAILED,   /* a signed error response of the server */
+    ANSWER_FAILED,   /* an error response with a signature header */
     ANSWER_REJECTED, /* the server has not run the request */
     ANSWER_INVALID   /* must not be passed on */
 } answer_class_t;
@@ -81,11 +81,11 @@
     int64_t first_answer_ms; /* first event or answer of any server */
 };
 
-/* Sends or refuses a waiting request; false if it must keep waiting. */
+/* Sends or rejects a waiting request; false if it must keep waiting. */
 bool request_place(request_t *request);
 void request_send(request_t *request, server_t *server);
 void request_release_server(request_t *request);
-void request_attempt_failed(request_t *request, send_result_t fate);
+void request_attempt_failed(request_t *request, send_result_t result);
 void request_end(request_t *request, const char *outcome);
 void request_deliver(request_t *request, meter_outcome_t outcome,
                      const char *outcome_name);
--- a/relay/retry-share.c
+++ b/relay/retry-share.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* In any window, all hosts together may send retries for a ratio of the
- * requests to a service, plus a slack.  Each host applies the ratio to its own
- * requests and has an equal part of the slack, so the sum holds without
- * messages between hosts.
+/* In any window, the number of retries that all hosts together send to a
+ * service is limited to a ratio of its requests plus a fixed slack.  Each host
+ * applies the ratio to its own requests and has an equal part of the slack, so
+ * the sum holds without messages between hosts.
  *
  * Counts are kept per slice of time.  As the newest slice is incomplete, as
  * many slices as make up a window cover slightly less than one.  Retries are
--- a/relay/rollout-plan.c
+++ b/relay/rollout-plan.c
@@ -39,8 +39,10 @@
     return count;
 }
 
+/* The order of updates: oldest weights, then fewest running and waiting
+ * requests, then the id. */
 static bool
-comes_before(const server_t *a, const server_t *b)
+is_updated_before(const server_t *a, const server_t *b)
 {
     if (a->info.weights != b->info.weights) {
         return a->info.weights < b->info.weights;
@@ -67,7 +69,7 @@
             now_ms < server->order_after_ms) {
             continue;
         }
-        if (best == NULL || comes_before(server, best)) {
+        if (best == NULL || is_updated_before(server, best)) {
             best = server;
         }
     }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -26,7 +26,7 @@
 #define JOB_RETRY_MS 500
 /* A job that has not finished in this time is given up, so that the server is
  * ordered again.  A load takes less than a second, and the requests that run
- * when it starts finish within a few. */
+ * when it starts finish within a few seconds. */
 #define JOB_TIMEOUT_MS 6000
 
 typedef enum {
@@ -61,22 +61,22 @@
 
 /* ---- the lease ---- */
 
-/* Takes in when versions were published, as the holder recorded it. */
+/* Applies the publication times recorded in the lease object. */
 static void
-take_published(relay_t *relay, const json_t *named)
+take_published(relay_t *relay, const json_t *published)
 {
     size_t index;
     json_t *row;
-    json_array_foreach (named, index, row) {
+    json_array_foreach (published, index, row) {
         const char *model = json_string_value(json_array_get(row, 0));
         int64_t version = json_integer_value(json_array_get(row, 1));
-        int64_t named_ms = json_integer_value(json_array_get(row, 2));
-        if (model != NULL && version > 0 && named_ms > 0) {
+        int64_t published_ms = json_integer_value(json_array_get(row, 2));
+        if (model != NULL && version > 0 && published_ms > 0) {
             if (json_is_true(json_array_get(row, 3))) {
-                weights_record_estimate(relay, model, version, named_ms);
+                weights_record_estimate(relay, model, version, published_ms);
             }
             else {
-                weights_record(relay, model, version, named_ms);
+                weights_record(relay, model, version, published_ms);
             }
         }
     }
@@ -251,7 +251,7 @@
 }
 
 /* Sends the load order.  Requests that still run go on during the load: if the
- * load waited for one long answer, the server would refuse all other requests
+ * load waited for one long answer, the server would reject all other requests
  * until then, and the rest of the fleet would stay on old weights.  The lease
  * is checked last, right before the order is sent. */
 static void
--- a/relay/servers.h
+++ b/relay/servers.h
@@ -99,7 +99,7 @@
     double slot_time_ms;
     unsigned consecutive_faults;
     int64_t circuit_open_until_ms;
-    int64_t full_until_ms; /* counts as full after a refusal until then */
+    int64_t full_until_ms; /* counts as full after a rejection until then */
     double error_share;    /* smoothed share of error answers */
     double slowness;       /* smoothed ratio of observed to expected time */
     int64_t probed_ms;     /* time of the last probe */
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -31,8 +31,8 @@
 /* How long the store holds a watch after a failed call, ms: its recovery is
  * detected within a second instead of three and a half. */
 #define RECOVERY_WAIT_MS 50
-/* Extra time for the answer to a watch, ms: the store answers in 4, and even
- * at a hundred times that it is better to wait than to ask again. */
+/* Extra time for the answer to a watch, ms: the store normally answers in 4
+ * ms, and even at 400 ms it is better to wait than to call again. */
 #define WATCH_SLACK_MS 1000
 /* Timeout of a list, ms: the store answers in a few, a slow one in some
  * hundred.  After this another daemon is asked. */
@@ -458,8 +458,8 @@
     return watch->answered_ms;
 }
 
-/* When the store last answered again after a failure; 0 if no call has failed,
- * and the current time while calls fail. */
+/* When the store or an upstream first answered after the last failure; 0 if no
+ * call has failed, and the current time while calls fail. */
 int64_t
 watch_recovered_ms(const watch_t *watch)
 {
@@ -480,8 +480,8 @@
     return watch->fresh;
 }
 
-/* Notes that another daemon follows this one, which then checks its path to
- * the store more often. */
+/* Records that another daemon follows this one.  While followed, this daemon
+ * uses short watches, so it detects sooner that the store is unreachable. */
 void
 watch_note_follower(watch_t *watch)
 {
--- a/relay/watch.h
+++ b/relay/watch.h
@@ -25,11 +25,11 @@
     /* Finds the address of the daemon whose watches this one follows; false if
      * this one watches the store itself. */
     bool (*find_upstream)(void *arg, char addr[CS_ADDR_MAX]);
-    /* The followed daemon does not serve this one; answered: it sent an error,
-     * else it did not answer. */
+    /* A call to the followed daemon failed.  answered is true if it sent an
+     * error or an incomplete response, false if it sent none. */
     void (*on_upstream_lost)(void *arg, const char *addr, bool answered);
-    /* Objects have changed, or are now known to be current or no longer so:
-     * followers are to be notified. */
+    /* Objects have changed, or watch_is_fresh() has changed.  Followers must
+     * be notified. */
     void (*on_update)(void *arg);
     void *arg;
 } watch_hooks_t;
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -7,7 +7,7 @@
  * restarts takes the times from the lease object, where the holder keeps
  * them. */
 
-/* A version of unknown age is assumed to have been published this part of the
+/* A version of unknown age is assumed to have been published 1/this of the
  * allowed time for older weights ago. */
 #define UNKNOWN_AGE_DIVISOR 2
 /* Share of the allowed time for older weights in which an answer may start on
@@ -47,8 +47,8 @@
 /* Inserts a version, the newest first.  Of several publication times the
  * earliest is kept; a known time replaces an estimate. */
 static void
-published_insert(weights_t *weights, int64_t version, int64_t named_ms,
-                 bool guessed)
+published_insert(weights_t *weights, int64_t version, int64_t published_ms,
+                 bool estimated)
 {
     size_t at = 0;
     while (at < weights->version_count &&
@@ -58,11 +58,11 @@
     if (at < weights->version_count &&
         weights->versions[at].version == version) {
         weights_version_t *entry = &weights->versions[at];
-        bool better = entry->estimated != guessed
+        bool better = entry->estimated != estimated
                           ? entry->estimated
-                          : named_ms < entry->published_ms;
+                          : published_ms < entry->published_ms;
         if (better) {
-            *entry = (weights_version_t){version, named_ms, guessed};
+            *entry = (weights_version_t){version, published_ms, estimated};
         }
         return;
     }
@@ -74,19 +74,20 @@
                       : WEIGHTS_VERSIONS_MAX - 1;
     memmove(&weights->versions[at + 1], &weights->versions[at],
             (last - at) * sizeof(weights->versions[0]));
-    weights->versions[at] = (weights_version_t){version, named_ms, guessed};
+    weights->versions[at] =
+        (weights_version_t){version, published_ms, estimated};
     weights->version_count = last + 1;
 }
 
 static void
 weights_insert(relay_t *relay, const char *model, int64_t version,
-               int64_t named_ms, bool guessed)
+               int64_t published_ms, bool estimated)
 {
     weights_t *weights = weights_find_or_add(relay, model);
     if (weights == NULL) {
         return;
     }
-    published_insert(weights, version, named_ms, guessed);
+    published_insert(weights, version, published_ms, estimated);
     if (version > weights->newest_version) {
         weights->newest_version = version;
         log_record(LOG_INFO, "weights", "named", "model=%s version=%lld",
@@ -97,9 +98,9 @@
 /* Records a version of a model and the wall-clock time of its publication. */
 void
 weights_record(relay_t *relay, const char *model, int64_t version,
-               int64_t named_ms)
+               int64_t published_ms)
 {
-    weights_insert(relay, model, version, named_ms, false);
+    weights_insert(relay, model, version, published_ms, false);
 }
 
 /* Records a version with a publication time that another daemon estimated.
@@ -107,9 +108,9 @@
  * later would make a later estimate of its own. */
 void
 weights_record_estimate(relay_t *relay, const char *model, int64_t version,
-                        int64_t named_ms)
+                        int64_t published_ms)
 {
-    weights_insert(relay, model, version, named_ms, true);
+    weights_insert(relay, model, version, published_ms, true);
 }
 
 /* Records a version that was read from the store.  A version in the daemon's
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -6,7 +6,7 @@
 /* Simulates one engine that reads prompts one after the other, in virtual
  * time.  A rejected caller retries once, after its retry-after. */
 
-#define READ_PER_MS 55.0
+#define PREFILL_TOKENS_PER_MS 55.0
 #define TARGET_MS 1200
 #define DEADLINE_MS 3000
 #define CALLERS_MAX 20000
@@ -53,11 +53,12 @@
 {
     double wait = *free_at > caller->at_ms ? *free_at - caller->at_ms : 0;
     double left = caller->first_ms + DEADLINE_MS - caller->at_ms;
-    admit_input_t input = {.wait_ms = wait,
-                           .prefill_ms = caller->tokens / READ_PER_MS,
-                           .target_ms = TARGET_MS,
-                           .remaining_ms = (int64_t)left,
-                           .engine = true};
+    admit_input_t input = {
+        .wait_ms = wait,
+        .prefill_ms = caller->tokens / PREFILL_TOKENS_PER_MS,
+        .target_ms = TARGET_MS,
+        .remaining_ms = (int64_t)left,
+        .engine = true};
     int64_t after = admission ? admit_retry_after_ms(&input) : 0;
     if (after > 0) {
         caller->done = caller->retried;
@@ -92,7 +93,7 @@
     while (at < RUN_MS && count < CALLERS_MAX) {
         double tokens = 400 + 3200 * rng_unit(&rng);
         rows[count++] = (sim_caller_t){at, at, tokens, false, false};
-        at += 2000.0 / READ_PER_MS / load * 2 * rng_unit(&rng);
+        at += 2000.0 / PREFILL_TOKENS_PER_MS / load * 2 * rng_unit(&rng);
     }
     qsort(rows, count, sizeof(rows[0]), by_time);
     sim_caller_t *caller;
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -226,12 +226,12 @@
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
     relay_config_t config = {0};
-    cache_follower_t *follows = cache_follower_new(relay);
+    cache_follower_t *follower = cache_follower_new(relay);
     relay->servers_listed = true;
     relay->config = &config;
-    cache_follower_tick(follows);
-    ck_assert_uint_eq(cache_follower_cache_count(follows), 0);
-    free(follows);
+    cache_follower_tick(follower);
+    ck_assert_uint_eq(cache_follower_cache_count(follower), 0);
+    free(follower);
     relay_free(relay);
 }
 END_TEST
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -10,7 +10,7 @@
 #define OWN_TOKENS 6600
 #define PROMPTS_PER_S 155
 #define LINK_TOKENS_PER_MS 576.0
-#define GIVEN_UP_MS 2000
+#define TRANSFER_WAIT_MAX_MS 2000
 #define IN_TIME_MS 300
 #define EVICTED_OF_10 3 /* of 10 requested threads, evicted by the engine */
 #define SPAN_MS 20000
@@ -21,8 +21,8 @@
     bool has[THREADS];
     unsigned offered;
     unsigned arrived;
-    /* Share of requested, evicted threads that are fetched in time, counted in
-     * the second half. */
+    /* Of the evicted threads that were requested in the second half of the
+     * run, the share fetched in time. */
     double fetched;
 } store_t;
 
@@ -39,7 +39,7 @@
 transfer(store_t *store, double now, double tokens)
 {
     double start = store->free_ms > now ? store->free_ms : now;
-    if (start - now > GIVEN_UP_MS) {
+    if (start - now > TRANSFER_WAIT_MAX_MS) {
         return false;
     }
     store->free_ms = start + tokens / LINK_TOKENS_PER_MS;
@@ -93,7 +93,7 @@
 
 /* Guards against a store's link overloaded with transfers that are mostly
  * given up, so that threads are prefilled again instead of fetched. */
-START_TEST(full_link_is_used_for_shared_parts)
+START_TEST(limited_saves_are_not_given_up)
 {
     store_t all = simulate(false);
     store_t limited = simulate(true);
@@ -147,7 +147,7 @@
 }
 END_TEST
 
-TEST_MAIN("cache-save", full_link_is_used_for_shared_parts,
+TEST_MAIN("cache-save", limited_saves_are_not_given_up,
           idle_link_takes_every_prompt,
           saved_parts_are_not_saved_again_and_unknown_links_not_limited,
           overdrawn_bucket_refills_first)
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -171,7 +171,7 @@
 #define FAMILIES 60u
 #define FAMILY_BLOCKS 240u
 #define OWN_BLOCKS 180u
-#define SMALL_BLOCKS 2400u
+#define SMALL_CACHE_BLOCKS 2400u
 #define PER_SECOND 20.0
 #define REQUESTS 2400u
 #define PREFILL_TOKENS_PER_S 48000.0
@@ -232,10 +232,10 @@
     double prefilled = 0;
     uint64_t own = 1000;
     for (unsigned i = 0; i < SERVERS; i++) {
-        servers[i].engine = engine_cache_new(SMALL_BLOCKS);
+        servers[i].engine = engine_cache_new(SMALL_CACHE_BLOCKS);
         servers[i].held = cached_parts_new();
         cached_parts_set_capacity(servers[i].held,
-                                  (int64_t)SMALL_BLOCKS * BLOCK_TOKENS);
+                                  (int64_t)SMALL_CACHE_BLOCKS * BLOCK_TOKENS);
         for (unsigned f = 0; f < FAMILIES; f++) {
             servers[i].used_s[f] = -AGE_S;
         }
--- a/tests/test-kv-stores.c
+++ b/tests/test-kv-stores.c
@@ -9,11 +9,11 @@
 #define PART_TOKENS 4000u
 
 static relay_config_t *
-config_of(unsigned stores, unsigned skipped)
+config_with_stores(unsigned count, unsigned skipped_index)
 {
     relay_config_t *config = relay_config_new();
-    for (unsigned i = 0; i < stores; i++) {
-        if (i == skipped) {
+    for (unsigned i = 0; i < count; i++) {
+        if (i == skipped_index) {
             continue;
         }
         relay_service_t *service = mem_zalloc(sizeof(*service));
@@ -64,8 +64,8 @@
 START_TEST(capacities_of_stores_add_up)
 {
     kv_stores_t stores = {0};
-    relay_config_t *one = config_of(1, 9);
-    relay_config_t *three = config_of(3, 9);
+    relay_config_t *one = config_with_stores(1, 9);
+    relay_config_t *three = config_with_stores(3, 9);
     kv_stores_sync(&stores, one);
     ck_assert_uint_lt(parts_kept(&stores), PARTS);
     kv_stores_sync(&stores, three);
@@ -81,8 +81,8 @@
 START_TEST(removed_store_affects_only_its_own_parts)
 {
     kv_stores_t stores = {0};
-    relay_config_t *three = config_of(3, 9);
-    relay_config_t *two = config_of(3, 1);
+    relay_config_t *three = config_with_stores(3, 9);
+    relay_config_t *two = config_with_stores(3, 1);
     char before[PARTS][CS_NAME_MAX];
     kv_stores_sync(&stores, three);
     (void)parts_kept(&stores);
@@ -110,8 +110,8 @@
 START_TEST(no_store_and_too_many_stores)
 {
     kv_stores_t stores = {0};
-    relay_config_t *none = config_of(0, 9);
-    relay_config_t *many = config_of(KV_STORES_MAX + 3, 99);
+    relay_config_t *none = config_with_stores(0, 9);
+    relay_config_t *many = config_with_stores(KV_STORES_MAX + 3, 99);
     kv_stores_sync(&stores, none);
     ck_assert_int_eq(kv_stores_choose(&stores, 7), -1);
     kv_stores_sync(&stores, many);
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -41,7 +41,7 @@
     unsigned starts;
     int last_actor; /* index of the last daemon to act, or -1 */
     int64_t highest_fence;
-    unsigned acts;
+    unsigned action_count;
 } sim_t;
 
 static void
@@ -187,7 +187,7 @@
             (unsigned long long)seed);
         sim->highest_fence = lease->fence;
         sim->last_actor = i;
-        sim->acts++;
+        sim->action_count++;
     }
     ck_assert_msg(holders <= 1, "seed %llu: %d holders at %lld ms",
                   (unsigned long long)seed, holders, (long long)sim->now_ms);
@@ -232,9 +232,9 @@
         }
         check_holders(sim, seed);
     }
-    unsigned acts = sim->acts;
+    unsigned action_count = sim->action_count;
     free(sim);
-    return acts;
+    return action_count;
 }
 
 /* Guards against two daemons that order one server at the same time, and
@@ -243,12 +243,12 @@
  * restart. */
 START_TEST(at_most_one_holder)
 {
-    unsigned acts = 0;
+    unsigned action_count = 0;
     for (uint64_t seed = 1; seed <= 1000; seed++) {
-        acts += run(seed);
+        action_count += run(seed);
     }
     /* On average it is held in over 1,200 of the 3,000 steps of a run. */
-    ck_assert_uint_gt(acts, 1000 * 1200);
+    ck_assert_uint_gt(action_count, 1000 * 1200);
 }
 END_TEST
 
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -240,8 +240,8 @@
 END_TEST
 
 /* Guards against daemons that start together and discover each other only
- * after many seconds: until then they do not share the load that each sends.
- */
+ * after many seconds: until then they do not know how much load the others
+ * put on the servers. */
 START_TEST(members_that_start_at_once_discover_each_other_soon)
 {
     static fleet_t fleet;
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -37,7 +37,7 @@
     quota_limit_t limit;
     double load;        /* units requested a ms, of all hosts */
     double skew;        /* share of the load that the first host gets */
-    unsigned lost;      /* datagrams of a hundred */
+    unsigned lost;      /* percentage of datagrams lost */
     double large;       /* units of the largest request */
     double run[RUN_MS]; /* units allowed in each ms */
     double exact;       /* level of the exact bucket */
