--- a/fakes/platform-server.c
+++ b/fakes/platform-server.c
@@ -62,7 +62,7 @@
 {
     static const wire_header_t shown[] = {
         HEADER_REQUEST_ID,     HEADER_WORKSPACE,  HEADER_ACCESS_KEY,
-        HEADER_LAST_EVENT,     HEADER_CACHE_SALT, HEADER_CACHE_FETCH,
+        HEADER_LAST_EVENT_ID,  HEADER_CACHE_SALT, HEADER_CACHE_FETCH_FROM,
         HEADER_EXPECT_VERSION, HEADER_PRIORITY,   HEADER_CACHE_PIN};
     struct evbuffer *body = evhttp_request_get_input_buffer(req);
     (void)fprintf(server->record, "run server=%s uri=%s body=%zu", server->id,
@@ -176,14 +176,14 @@
 begin_stream(run_t *run)
 {
     const char *last_id =
-        find_header(run->req, wire_header_name(HEADER_LAST_EVENT));
+        find_header(run->req, wire_header_name(HEADER_LAST_EVENT_ID));
     char version[32];
     run->next_event =
         last_id != NULL ? (unsigned)strtoul(last_id, NULL, 10) + 1 : 1;
     run->last_event = run->server->events;
     (void)snprintf(version, sizeof(version), "%lld",
                    (long long)run->server->version);
-    add_header(run->req, HEADER_WEIGHTS, version);
+    add_header(run->req, HEADER_WEIGHTS_VERSION, version);
     (void)evhttp_add_header(evhttp_request_get_output_headers(run->req),
                             "Content-Type", "text/event-stream");
     evhttp_send_reply_start(run->req, 200, NULL);
--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -260,7 +260,7 @@
 on_weights(void *arg, const store_object_t *object)
 {
     relay_t *relay = arg;
-    newest_weights_t name;
+    published_weights_t name;
     err_t err = {0};
     object_cache_put(relay->object_cache, KIND_WEIGHTS, object);
     if (object->removed) {
--- a/relay/listeners.c
+++ b/relay/listeners.c
@@ -110,7 +110,7 @@
     static const http_listener_hooks_t metrics = {
         .limits = internal_limits,
         .on_request = on_metrics_request,
-        .on_disconnect = object_cache_caller_left};
+        .on_disconnect = object_cache_caller_disconnected};
     relay->ready_listener =
         open_listener(relay, relay->settings.ready_addr, &ready, err);
     relay->metrics_listener =
--- a/relay/object-cache.c
+++ b/relay/object-cache.c
@@ -221,7 +221,7 @@
 
 /* Drops a waiter whose connection has ended. */
 void
-object_cache_caller_left(void *waiter)
+object_cache_caller_disconnected(void *waiter)
 {
     waiter_free(waiter);
 }
--- a/relay/object-cache.h
+++ b/relay/object-cache.h
@@ -18,6 +18,6 @@
 void object_cache_notify(object_cache_t *cache, object_kind_t kind);
 bool object_cache_answer(object_cache_t *cache, caller_t *caller,
                          const char *target);
-void object_cache_caller_left(void *waiter);
+void object_cache_caller_disconnected(void *waiter);
 
 #endif
--- a/relay/peers-internal.h
+++ b/relay/peers-internal.h
@@ -27,10 +27,10 @@
     unsigned char secret[SECRET_BYTES]; /* all zero: the network is private */
     peer_discovery_t discovery;
     watch_avoided_t avoided_watchers;
-    int64_t next_round_ms;     /* of membership */
-    bool facts_requested;      /* from peers, after the start */
-    size_t http_rotation;      /* where peers_next_http_addr starts */
-    retry_hosts_t retry_hosts; /* live hosts that share the retry slack */
+    int64_t next_members_tick_ms; /* of membership */
+    bool facts_requested;         /* from peers, after the start */
+    size_t http_rotation;         /* where peers_next_http_addr starts */
+    retry_hosts_t retry_hosts;    /* live hosts that share the retry slack */
     uint64_t bytes_sent;
 };
 
@@ -52,8 +52,8 @@
 void peers_notify_part(peers_t *peers, const char *holder,
                        const cached_part_t *part, bool held);
 void peers_notify_loads(peers_t *peers, int64_t now);
-void peers_note_quota_host(void *arg, const char *addr);
-void peers_note_quota_hosts(peers_t *peers);
+void peers_confirm_quota_host(void *arg, const char *addr);
+void peers_confirm_quota_hosts(peers_t *peers);
 void peers_announce_quotas(peers_t *peers, int64_t now);
 void peers_request_facts(peers_t *peers);
 
--- a/relay/peers-notify.c
+++ b/relay/peers-notify.c
@@ -85,7 +85,7 @@
 
 /* Notes that the daemon at an address may spend of the workspaces' limits. */
 void
-peers_note_quota_host(void *arg, const char *addr)
+peers_confirm_quota_host(void *arg, const char *addr)
 {
     peers_t *peers = arg;
     struct sockaddr_in at;
@@ -99,13 +99,13 @@
 /* Notes that all members that are not dead may spend of the workspaces'
  * limits. */
 void
-peers_note_quota_hosts(peers_t *peers)
+peers_confirm_quota_hosts(peers_t *peers)
 {
     member_t members[QUOTA_HOSTS_MAX];
     size_t count = members_list(peers->members, members, QUOTA_HOSTS_MAX);
     for (size_t i = 0; i < count; i++) {
         if (members[i].health != MEMBER_DEAD) {
-            peers_note_quota_host(peers, members[i].peer_addr);
+            peers_confirm_quota_host(peers, members[i].peer_addr);
         }
     }
 }
--- a/relay/peers.c
+++ b/relay/peers.c
@@ -52,12 +52,12 @@
     }
     peers_flush_facts(peers);
     peers_announce_quotas(peers, now);
-    if (now < peers->next_round_ms) {
+    if (now < peers->next_members_tick_ms) {
         return;
     }
-    peers->next_round_ms = now + members_tick_interval_ms();
+    peers->next_members_tick_ms = now + members_tick_interval_ms();
     update_retry_slack(peers, now);
-    peers_note_quota_hosts(peers);
+    peers_confirm_quota_hosts(peers);
     members_tick(peers->members, now,
                  relay->config != NULL ? relay->config->revision : 0,
                  relay->stop_requested_ms != 0 ? MEMBER_LEAVING : MEMBER_LIVE,
@@ -131,10 +131,11 @@
     (void)event_add(peers->load_timer, &loads_interval);
     add_seeds(peers);
     relay->notify_part = peers_notify_part;
-    peers->discovery = (peer_discovery_t){.settings = &relay->settings,
-                                          .exchanges = relay->exchanges,
-                                          .members = peers->members,
-                                          .on_listed = peers_note_quota_host,
-                                          .arg = peers};
+    peers->discovery =
+        (peer_discovery_t){.settings = &relay->settings,
+                           .exchanges = relay->exchanges,
+                           .members = peers->members,
+                           .on_listed = peers_confirm_quota_host,
+                           .arg = peers};
     return peers;
 }
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -95,9 +95,9 @@
     meter_write_value(out, "servers_heard_ms_ago",
                       (double)(now - watch_answered_ms(relay->servers_watch)));
     meter_write_value(out, "store_calls_total",
-                      (double)(watch_calls(relay->config_watch) +
-                               watch_calls(relay->servers_watch) +
-                               watch_calls(relay->weights_watch)));
+                      (double)(watch_store_call_count(relay->config_watch) +
+                               watch_store_call_count(relay->servers_watch) +
+                               watch_store_call_count(relay->weights_watch)));
     meter_write_value(out, "forecast_error_ms", relay->forecast.error_ms);
     meter_write_value(out, "forecast_spread_ms", relay->forecast.spread_ms);
     meter_write_value(out, "daemons", (double)peers_live_count(relay->peers));
--- a/relay/request-send.c
+++ b/relay/request-send.c
@@ -65,14 +65,14 @@
         case HEADER_EXPECT_SERVER:
         case HEADER_EXPECT_VERSION:
         case HEADER_CACHE_SALT:
-        case HEADER_CACHE_FETCH:
-        case HEADER_CACHE_SAVE:
+        case HEADER_CACHE_FETCH_FROM:
+        case HEADER_CACHE_SAVE_TO:
         case HEADER_CACHE_PIN:
         case HEADER_CACHE_HOLD:
         case HEADER_CACHE_BACKUP:
         case HEADER_KV_FROM:
             return false;
-        case HEADER_LAST_EVENT:
+        case HEADER_LAST_EVENT_ID:
             return !resumes;
         default:
             return true;
@@ -99,7 +99,7 @@
         buf_str(out, "\r\n");
     }
     if (resumes) {
-        add_header(out, HEADER_LAST_EVENT, request->stream.last_id);
+        add_header(out, HEADER_LAST_EVENT_ID, request->stream.last_id);
     }
 }
 
@@ -119,12 +119,12 @@
     request->saves_to_kv_store = false;
     const char *from = cache_fetch_address(&view, store);
     if (from != NULL) {
-        add_header(out, HEADER_CACHE_FETCH, from);
+        add_header(out, HEADER_CACHE_FETCH_FROM, from);
     }
     if (store != NULL &&
         !cache_store_has_shared(relay, &request->prefix, number) &&
         cache_should_save(relay, &request->prefix, server, number)) {
-        add_header(out, HEADER_CACHE_SAVE, store->addr);
+        add_header(out, HEADER_CACHE_SAVE_TO, store->addr);
         request->saves_to_kv_store = true;
     }
 }
--- a/relay/request.c
+++ b/relay/request.c
@@ -391,7 +391,7 @@
 {
     request_t *request = mem_zalloc(sizeof(*request));
     char last_id[EVENT_ID_MAX] = "";
-    const header_t *last_event = find_header(head, HEADER_LAST_EVENT);
+    const header_t *last_event = find_header(head, HEADER_LAST_EVENT_ID);
     if (last_event != NULL) {
         http_head_copy(head, last_event->value, last_id, sizeof(last_id));
     }
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -118,7 +118,7 @@
                              .fence = object.fence,
                              .writes = object.writes};
     lease_observe(&rollout->lease, &record, time_boot_ms());
-    take_published(rollout->relay, object.named);
+    take_published(rollout->relay, object.published);
     platform_page_free(&page);
 }
 
--- a/relay/watch.c
+++ b/relay/watch.c
@@ -489,7 +489,7 @@
 }
 
 uint64_t
-watch_calls(const watch_t *watch)
+watch_store_call_count(const watch_t *watch)
 {
     return watch->store_call_count;
 }
--- a/relay/watch.h
+++ b/relay/watch.h
@@ -44,6 +44,6 @@
 bool watch_is_fresh(const watch_t *watch);
 void watch_note_follower(watch_t *watch);
 int64_t watch_revision(const watch_t *watch);
-uint64_t watch_calls(const watch_t *watch);
+uint64_t watch_store_call_count(const watch_t *watch);
 
 #endif
--- a/relay/wire.h
+++ b/relay/wire.h
@@ -20,7 +20,7 @@
     HEADER_MODEL,
     HEADER_TOKEN_USAGE,   /* prompt tokens, maximum of output tokens */
     HEADER_PROMPT_PREFIX, /* parts of the prompt, ID:TOKENS each */
-    HEADER_LAST_EVENT,    /* resumes a stream after this event */
+    HEADER_LAST_EVENT_ID, /* resumes a stream after this event */
     HEADER_OUTPUT_HINT,
 
     /* From callers, replaced or removed. */
@@ -33,8 +33,8 @@
     HEADER_EXPECT_SERVER,
     HEADER_EXPECT_VERSION,
     HEADER_CACHE_SALT,
-    HEADER_CACHE_FETCH,
-    HEADER_CACHE_SAVE,
+    HEADER_CACHE_FETCH_FROM,
+    HEADER_CACHE_SAVE_TO,
     HEADER_CACHE_PIN,
     HEADER_CACHE_HOLD,
     HEADER_CACHE_BACKUP,
@@ -45,7 +45,7 @@
     HEADER_SERVER_ID,
     HEADER_LOAD,
     HEADER_NOT_EXECUTED,
-    HEADER_WEIGHTS, /* weights version that produced the answer */
+    HEADER_WEIGHTS_VERSION, /* weights version that produced the answer */
     HEADER_COUNT
 } wire_header_t;
 
