--- a/relay/discovery.c
+++ b/relay/discovery.c
@@ -260,17 +260,17 @@
 on_weights(void *arg, const store_object_t *object)
 {
     relay_t *relay = arg;
-    published_weights_t name;
+    published_weights_t weights;
     err_t err = {0};
     object_cache_put(relay->object_cache, KIND_WEIGHTS, object);
     if (object->removed) {
         return;
     }
-    if (platform_weights_read(&name, object, &err) != 0) {
+    if (platform_weights_read(&weights, object, &err) != 0) {
         log_record(LOG_WARN, "weights", "unreadable", "why=\"%s\"", err.text);
         return;
     }
-    weights_observe(relay, name.model, name.version, time_wall_ms());
+    weights_observe(relay, weights.model, weights.version, time_wall_ms());
 }
 
 static void
--- a/relay/peers-internal.h
+++ b/relay/peers-internal.h
@@ -30,7 +30,7 @@
     watch_avoided_t avoided_watchers;
     int64_t next_members_tick_ms; /* when members_tick is next due */
     bool facts_requested;         /* known facts were requested from peers */
-    size_t http_rotation; /* member with which peers_next_http_addr starts */
+    size_t http_rotation; /* offset at which peers_next_http_addr starts */
     retry_hosts_t retry_hosts; /* live hosts that share the retry slack */
     uint64_t bytes_sent;
 };
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /* Simulates a few daemons and a store in virtual time, from a seed: lost
- * answers, writes that are done seconds later if their condition still holds,
- * stale reads, and daemons that freeze or restart. */
+ * answers, writes that take effect seconds later if their condition still
+ * holds, stale reads, and daemons that freeze or restart. */
 
 #define DAEMONS 4
 #define DURATION_MS 3000
@@ -39,9 +39,9 @@
     lease_t leases[DAEMONS];
     int64_t frozen_ms[DAEMONS]; /* does not run until then */
     unsigned starts;
-    int last_actor; /* index of the last daemon to act, or -1 */
+    int last_holder; /* daemon that last held the lease, or -1 */
     int64_t highest_fence;
-    unsigned acts;
+    unsigned held_steps;
 } sim_t;
 
 static void
@@ -163,9 +163,8 @@
     }
 }
 
-/* Checks that at most one running daemon holds the lease, under a fencing
- * token that no other daemon has acted under, and not below the highest
- * so far. */
+/* Checks that at most one running daemon holds the lease, and that its fencing
+ * token is at least the highest so far and was not used by another daemon. */
 static void
 check_holders(sim_t *sim, uint64_t seed)
 {
@@ -182,12 +181,12 @@
                       (unsigned long long)seed, (long long)lease->fence,
                       (long long)sim->highest_fence);
         ck_assert_msg(
-            lease->fence > sim->highest_fence || sim->last_actor == i,
+            lease->fence > sim->highest_fence || sim->last_holder == i,
             "seed %llu: two daemons under one fence",
             (unsigned long long)seed);
         sim->highest_fence = lease->fence;
-        sim->last_actor = i;
-        sim->acts++;
+        sim->last_holder = i;
+        sim->held_steps++;
     }
     ck_assert_msg(holders <= 1, "seed %llu: %d holders at %lld ms",
                   (unsigned long long)seed, holders, (long long)sim->now_ms);
@@ -218,7 +217,7 @@
 {
     sim_t *sim = mem_zalloc(sizeof(*sim));
     sim->rng.state = seed;
-    sim->last_actor = -1;
+    sim->last_holder = -1;
     for (int i = 0; i < DAEMONS; i++) {
         daemon_start(sim, i);
     }
@@ -232,23 +231,23 @@
         }
         check_holders(sim, seed);
     }
-    unsigned acts = sim->acts;
+    unsigned held_steps = sim->held_steps;
     free(sim);
-    return acts;
+    return held_steps;
 }
 
 /* Guards against two daemons that order one server at the same time, and
  * against an old holder that orders after a newer one.  The store loses
- * answers and does writes late; daemons freeze while they hold the lease, and
+ * answers and delays writes; daemons freeze while they hold the lease, and
  * restart. */
 START_TEST(at_most_one_holder)
 {
-    unsigned acts = 0;
+    unsigned held_steps = 0;
     for (uint64_t seed = 1; seed <= 1000; seed++) {
-        acts += run(seed);
+        held_steps += run(seed);
     }
     /* On average it is held in over 1,200 of the 3,000 steps of a run. */
-    ck_assert_uint_gt(acts, 1000 * 1200);
+    ck_assert_uint_gt(held_steps, 1000 * 1200);
 }
 END_TEST
 
@@ -302,10 +301,10 @@
 END_TEST
 
 /* Guards against two hosts that order servers at once.  A host's write gets no
- * answer and is done late.  A stale read hides it, so the host writes again,
- * is rejected, and receives an object that names it as holder.  If it took
- * that for its last write, it would count its lease from there, while its
- * successor counts from when the first write was done. */
+ * answer and takes effect late.  A stale read hides it, so the host writes
+ * again, is rejected, and receives an object that names it as holder.  If it
+ * took that for its last write, it would count its lease from the time of that
+ * one, while its successor counts from when the first write took effect. */
 START_TEST(late_earlier_write_does_not_count_as_last)
 {
     lease_t lease;
@@ -327,9 +326,9 @@
 }
 END_TEST
 
-/* Guards against all 35 hosts of a fleet that write at once when the store is
- * back from an outage and the lease is free: only one write can succeed, and
- * the rest load the store.  The delay grows with the rank; the first host does
+/* Guards against 35 hosts that all write at once when the store recovers from
+ * an outage and the lease is free: only one write can succeed, and the rest
+ * load the store.  The delay grows with the rank; the first host does
  * not wait. */
 START_TEST(free_lease_is_taken_by_rank)
 {
@@ -351,7 +350,7 @@
 END_TEST
 
 /* Guards against ten calls a second from each host to an overloaded store: a
- * host waits after a failed call. */
+ * failed call starts a backoff. */
 START_TEST(failed_call_backs_off)
 {
     lease_t lease;
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -36,8 +36,8 @@
     return fact;
 }
 
-/* A part that another host's request used counts as held.  One that is still
- * being prefilled cannot be fetched yet and must not count. */
+/* A part that another host's request used counts as held.  A part that is
+ * still being prefilled cannot be fetched yet and must not count. */
 START_TEST(parts_used_by_peers_are_held)
 {
     server_t *server;
--- a/tests/test-relay-config.c
+++ b/tests/test-relay-config.c
@@ -133,8 +133,8 @@
     const route_t *route =
         relay_config_find_route(config, "a.example", 9, "/x/", 3);
     unsigned second = 0;
-    for (uint64_t draw = 0; draw < 1000; draw++) {
-        second += strcmp(route_pick_service(route, draw), "s2") == 0;
+    for (uint64_t random = 0; random < 1000; random++) {
+        second += strcmp(route_pick_service(route, random), "s2") == 0;
     }
     ck_assert_uint_eq(second, 100);
     relay_config_release(config);
@@ -265,15 +265,15 @@
 {
     char shared[CS_ID_LEN + 1];
     char newer[CS_ID_LEN + 1];
-    char mine[CS_ID_LEN + 1];
-    char theirs[CS_ID_LEN + 1];
+    char workspace_a[CS_ID_LEN + 1];
+    char workspace_b[CS_ID_LEN + 1];
     prompt_format_salt("m", 1, "", shared);
     prompt_format_salt("m", 2, "", newer);
-    prompt_format_salt("m", 1, "a", mine);
-    prompt_format_salt("m", 1, "b", theirs);
+    prompt_format_salt("m", 1, "a", workspace_a);
+    prompt_format_salt("m", 1, "b", workspace_b);
     ck_assert_str_ne(shared, newer);
-    ck_assert_str_ne(shared, mine);
-    ck_assert_str_ne(mine, theirs);
+    ck_assert_str_ne(shared, workspace_a);
+    ck_assert_str_ne(workspace_a, workspace_b);
 }
 END_TEST
 
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -22,9 +22,10 @@
     return servers_put(servers, &entry);
 }
 
-/* A long answer for another host runs on a server.  The server is ordered when
- * that host reports that it has ended, or after ROLLOUT_DRAIN_MS, so that a
- * host that stops reporting does not block the rollout. */
+/* A long answer for another host runs on a server.  The server can be ordered
+ * to load when that host reports that the answer has ended, or after
+ * ROLLOUT_DRAIN_MS, so that a host that stops reporting does not block the
+ * rollout. */
 START_TEST(server_is_ordered_when_drained)
 {
     servers_t *servers = servers_new();
--- a/tests/test-weights.c
+++ b/tests/test-weights.c
@@ -30,7 +30,7 @@
 }
 END_TEST
 
-/* The lease object has the publication time, which replaces the estimate. */
+/* The publication time in the lease object replaces the estimate. */
 START_TEST(known_time_replaces_estimate)
 {
     relay_t *relay = relay_new(false);
