--- a/relay/lease.c
+++ b/relay/lease.c
@@ -88,7 +88,7 @@
 
 /* Sets how many live hosts may take a free lease before this one.  If all
  * hosts of a large fleet tried at once, all writes but one would fail, and
- * they would load the store just when it comes back from an outage. */
+ * they would load the store just when it recovers from an outage. */
 void
 lease_set_rank(lease_t *lease, size_t rank)
 {
--- a/relay/rollout.c
+++ b/relay/rollout.c
@@ -64,11 +64,11 @@
 
 /* Applies the publication times of versions that the holder recorded. */
 static void
-apply_published(relay_t *relay, const json_t *named)
+apply_published(relay_t *relay, const json_t *rows)
 {
     size_t index;
     json_t *row;
-    json_array_foreach (named, index, row) {
+    json_array_foreach (rows, index, row) {
         const char *model = json_string_value(json_array_get(row, 0));
         int64_t version = json_integer_value(json_array_get(row, 1));
         int64_t published_ms = json_integer_value(json_array_get(row, 2));
