--- a/relay/peers-internal.h
+++ b/relay/peers-internal.h
@@ -10,8 +10,9 @@
 #include <netinet/in.h>
 
 /* Facts are sent directly to this many peers at most. The others learn what a
- * server holds only from their own requests, and until then have servers
- * prefill again what another one holds. Each fact costs 40 bytes per peer. */
+ * server's cache holds only from their own requests, and until then send
+ * requests to servers that must prefill again what another one holds. Each
+ * fact costs 40 bytes per peer. */
 #define PEERS_DIRECT_MAX 64
 
 struct peers {
@@ -19,7 +20,7 @@
     int fd;
     struct event *read_event;
     struct event *load_timer;
-    size_t load_intervals; /* passed since loads were last announced */
+    size_t load_intervals; /* timer intervals since loads were announced */
     members_t *members;
     member_outbox_t member_messages;
     peer_datagram_t pending;            /* facts to send with the next tick */
@@ -27,9 +28,9 @@
     unsigned char secret[SECRET_BYTES]; /* all zero: the network is private */
     peer_discovery_t discovery;
     watch_avoided_t avoided_watchers;
-    int64_t next_round_ms;     /* of membership */
-    bool facts_requested;      /* from peers, after the start */
-    size_t http_rotation;      /* where peers_next_http_addr starts */
+    int64_t next_members_tick_ms; /* when members_tick is next due */
+    bool facts_requested;         /* known facts were requested from peers */
+    size_t http_rotation; /* offset at which peers_next_http_addr starts */
     retry_hosts_t retry_hosts; /* live hosts that share the retry slack */
     uint64_t bytes_sent;
 };
@@ -52,8 +53,8 @@
 void peers_notify_part(peers_t *peers, const char *holder,
                        const cached_part_t *part, bool held);
 void peers_notify_loads(peers_t *peers, int64_t now);
-void peers_note_quota_host(void *arg, const char *addr);
-void peers_note_quota_hosts(peers_t *peers);
+void peers_confirm_quota_host(void *arg, const char *addr);
+void peers_confirm_quota_hosts(peers_t *peers);
 void peers_announce_quotas(peers_t *peers, int64_t now);
 void peers_request_facts(peers_t *peers);
 
--- a/relay/weights.c
+++ b/relay/weights.c
@@ -4,7 +4,7 @@
 
 /* Published versions of each model's weights and when they were published.
  * Older versions may be used for a limited time after that, so a daemon that
- * restarts takes the times from the lease object, where the holder keeps
+ * restarts reads the times from the lease object, where the holder stores
  * them. */
 
 /* A version of unknown age is assumed to have been published 1/this of the
@@ -44,20 +44,21 @@
     return weights;
 }
 
-/* Inserts a version, the newest first.  Of several publication times the
- * earliest is kept; a known time replaces an estimate. */
+/* Inserts a version into the list, which has the newest first.  Of several
+ * publication times the earliest is kept; a known time replaces an estimate.
+ */
 static void
-published_insert(weights_t *weights, int64_t version, int64_t published_ms,
-                 bool estimated)
+insert_version(weights_t *weights, int64_t version, int64_t published_ms,
+               bool estimated)
 {
-    size_t at = 0;
-    while (at < weights->version_count &&
-           weights->versions[at].version > version) {
-        at++;
+    size_t position = 0;
+    while (position < weights->version_count &&
+           weights->versions[position].version > version) {
+        position++;
     }
-    if (at < weights->version_count &&
-        weights->versions[at].version == version) {
-        weights_version_t *entry = &weights->versions[at];
+    if (position < weights->version_count &&
+        weights->versions[position].version == version) {
+        weights_version_t *entry = &weights->versions[position];
         bool better = entry->estimated != estimated
                           ? entry->estimated
                           : published_ms < entry->published_ms;
@@ -66,15 +67,15 @@
         }
         return;
     }
-    if (at == WEIGHTS_VERSIONS_MAX) {
+    if (position == WEIGHTS_VERSIONS_MAX) {
         return;
     }
     size_t last = weights->version_count < WEIGHTS_VERSIONS_MAX
                       ? weights->version_count
                       : WEIGHTS_VERSIONS_MAX - 1;
-    memmove(&weights->versions[at + 1], &weights->versions[at],
-            (last - at) * sizeof(weights->versions[0]));
-    weights->versions[at] =
+    memmove(&weights->versions[position + 1], &weights->versions[position],
+            (last - position) * sizeof(weights->versions[0]));
+    weights->versions[position] =
         (weights_version_t){version, published_ms, estimated};
     weights->version_count = last + 1;
 }
@@ -87,7 +88,7 @@
     if (weights == NULL) {
         return;
     }
-    published_insert(weights, version, published_ms, estimated);
+    insert_version(weights, version, published_ms, estimated);
     if (version > weights->newest_version) {
         weights->newest_version = version;
         log_record(LOG_INFO, "weights", "named", "model=%s version=%lld",
@@ -116,9 +117,9 @@
 /* Records a version that was read from the store.  A version in the daemon's
  * first list may have been published long before.  The lease object has its
  * time, except for versions published while no host held the lease, as in a
- * rolling restart.  So half of the allowed time for older weights is counted
- * as over: otherwise a daemon that restarts after a publication would use
- * replaced weights for too long. */
+ * rolling restart.  So it is estimated that half of the allowed time for older
+ * weights has passed: otherwise a daemon that restarts after a publication
+ * would use replaced weights for too long. */
 void
 weights_record_from_store(relay_t *relay, const char *model, int64_t version,
                           int64_t wall_ms)
