--- a/bench/overhead.sh
+++ b/bench/overhead.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Measures the overhead of the router against the same load sent directly to the
-# fake engines in the same run: time to first token, tokens per second and core of
+# fake engines in the same run: time to first token, tokens per second per core of
 # the daemon, and memory per stream. One daemon, four replicas, short prompts.
 cd "$(dirname "$0")/.." || exit 1
 OUT=${OUT:-out/overhead}
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -15,8 +15,8 @@
 #define DEADLINE_MS 4000
 /* A final answer may arrive this long after the route's timeout. */
 #define ANSWER_MARGIN_MS 500
-/* A removed key is rejected after this time by each relay that reaches the
- * store, or another relay that does. */
+/* A relay rejects a removed key at the latest this long after the removal,
+ * if it reaches the store or another relay that reaches the store. */
 #define KEY_REMOVAL_MS 2000
 /* At least this share of the requests in the recovery phase must succeed. */
 #define RECOVERY_SUCCESS_SHARE 0.95
@@ -56,7 +56,7 @@
     int64_t sent_ms;
     int64_t ended_ms;
     bool disturbed;        /* relay or servers had faults during the request */
-    unsigned disturbances; /* of relay and servers before it was sent */
+    unsigned disturbances; /* faults of relay and servers before it was sent */
     bool relay_stopping;   /* the relay was shutting down during the request */
     exchange_end_t end;
     int status;
@@ -447,8 +447,8 @@
         request->sent_ms > soak->old_key_removed_ms + 10000) {
         soak_report_violation(soak, "a removed key is rejected", "%s", id);
     }
-    /* A request that arrived while its connection was being closed was not
-     * forwarded, so only one that ran was cut off. */
+    /* Only a request that ran was cut off: one that arrived while its
+     * connection was being closed was not forwarded. */
     if (request->relay_stopping && !request->disturbed && request->runs > 0 &&
         (request->end == EXCHANGE_NO_ANSWER ||
          request->end == EXCHANGE_BROKEN)) {
--- a/soak/faults.c
+++ b/soak/faults.c
@@ -27,7 +27,8 @@
     FAULT_STORE_LINK,        /* the link from a relay to the store */
     FAULT_SERVER_LINK,       /* the link to a server */
     FAULT_RESET_CONNECTIONS, /* open connections on a link are reset */
-    FAULT_STALL_CONNECTIONS, /* open connections on a link go silent */
+    FAULT_STALL_CONNECTIONS, /* open connections on a link transfer no more
+                                data */
     FAULT_SERVER,            /* a server answers wrongly or not at all */
     FAULT_STORE_DOWN,
     FAULT_STORE_SILENT,
@@ -35,7 +36,7 @@
     FAULT_STORE_LOSES_HISTORY,
     FAULT_NEW_CONFIG,
     FAULT_NEW_WEIGHTS,
-    FAULT_REMOVE_KEY, /* a key leaves the configuration */
+    FAULT_REMOVE_KEY, /* a key is removed from the configuration */
     FAULT_KINDS
 } fault_kind_t;
 
--- a/soak/proxy.c
+++ b/soak/proxy.c
@@ -21,7 +21,7 @@
     struct event *timer;
     bool client_ended;
     bool target_ended;
-    bool stalled; /* silent from now on; new connections work */
+    bool stalled; /* forwards no more data; new connections do */
 } proxy_conn_t;
 
 typedef CK_LIST_HEAD(proxy_conns, proxy_conn) proxy_conns_t;
@@ -231,8 +231,7 @@
     }
 }
 
-/* Makes all open connections silent for the rest of their life; new ones
- * work. */
+/* Stops forwarding on all open connections until they close; new ones work. */
 void
 proxy_stall(proxy_t *proxy)
 {
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -14,7 +14,8 @@
 /* Length of the recovery phase, without faults.  The longest pauses of a
  * circuit breaker, a watch and a lease fit in its first six seconds. */
 #define RECOVERY_MS 9000
-/* For the start of the daemons, and at the end for requests in flight. */
+/* Time for the daemons to start, and at the end for requests in flight to
+ * complete. */
 #define SETTLE_MS 3000
 
 typedef struct {
--- a/tests/proc-quota.sh
+++ b/tests/proc-quota.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Guards against a workspace that exceeds its limit by spreading requests over
-# several daemons, and against refusals without a Retry-After time.
+# several daemons, and against rejections without a Retry-After time.
 . "$(dirname "$0")/relay-lib.sh"
 # wait_config RELAY VERSION: waits until the relay has adopted the configuration
 wait_config() {
--- a/tests/proc-refusals.sh
+++ b/tests/proc-refusals.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
 # Guards against a request that is reported as not run, is sent again by its
 # caller and so runs twice. The load is three times the capacity, so that the
-# daemons refuse; one replica crashes and one is frozen meanwhile, and deadlines
+# daemons reject; one replica crashes and one is frozen meanwhile, and deadlines
 # are short. No request reported as not run may be among those that the replicas
-# executed, and every refusal must come at once with a Retry-After time.
+# executed, and every rejection must come at once with a Retry-After time.
 . "$(dirname "$0")/proc-lib.sh"
 start_store && start_service && start_engines 3 --prefill-rate 8000 --slots 16 && start_daemons 4 &&
     declare_all 3 moderation && wait_generation 4 || exit 1
--- a/tests/proc-relay-faults.sh
+++ b/tests/proc-relay-faults.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against wrong answers when servers refuse, fail, hang, break connections
+# Guards against wrong answers when servers reject, fail, hang, break connections
 # or leave while callers wait. Requests that may run again must go to another
 # server; requests that may have run must be neither repeated nor reported as not
 # run; a stream must continue at another server without gap or repeat; a shutdown
--- a/tests/proc-relay-follow.sh
+++ b/tests/proc-relay-follow.sh
@@ -24,7 +24,7 @@
 }
 
 # The daemons discover each other within five seconds. One that meanwhile tried to
-# follow a daemon that does not watch was refused, and polls the store itself for
+# follow a daemon that does not watch was rejected, and polls the store itself for
 # five more.
 sleep 12
 declare -A before
--- a/tests/proc-relay-path.sh
+++ b/tests/proc-relay-path.sh
@@ -2,7 +2,7 @@
 # Guards against requests that are altered on the way to a server, and against
 # requests that no caller was allowed to send. Keys must not reach servers,
 # headers that the router sets must not be taken from callers, messages that two
-# HTTP parsers could read differently must be refused, and each answer must be the
+# HTTP parsers could read differently must be rejected, and each answer must be the
 # server's own.
 . "$(dirname "$0")/relay-lib.sh"
 start_platform 2 2 && start_relays 1 || exit 1
--- a/tests/proc-services.sh
+++ b/tests/proc-services.sh
@@ -14,7 +14,7 @@
     curl -s -i --max-time 5 -X POST -H 'Authorization: Bearer key-1' -d '{"key":"x"}' "$URL/ledger/sum" | grep -i '^X-Celeryspool-Outcome' | tr -d '\r'
 done >"$OUT/outcomes"
 expect "12 answers" [ "$(wc -l <"$OUT/outcomes")" = 12 ]
-# Calls that the circuit breaker refuses were never sent; all others may have run.
+# Calls that the circuit breaker rejects were never sent; all others may have run.
 sent=$(grep '"kind":"sent"' "$OUT/router-1.events" | grep '"ledger-1"' | grep -o '"request":"[0-9a-f]*"' | sort -u)
 refused=$(grep '"detail":"not_run"' "$OUT/router-1.events" | grep -o '"request":"[0-9a-f]*"' | sort -u)
 expect "some calls were sent: $(echo "$sent" | wc -l)" [ -n "$sent" ]
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -13,8 +13,8 @@
 #define RUN_MS 30000
 
 typedef struct {
-    double at_ms;    /* arrival of the next try */
-    double first_ms; /* arrival of the first try */
+    double at_ms;    /* arrival of the next attempt */
+    double first_ms; /* arrival of the first attempt */
     double tokens;
     bool retried;
     bool done;
@@ -47,7 +47,7 @@
     return next;
 }
 
-/* Serves a try of a caller, or rejects it. */
+/* Serves or rejects an attempt of a caller. */
 static void
 serve(sim_caller_t *caller, double *free_at, bool admission, result_t *result)
 {
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -33,8 +33,8 @@
     return (uint32_t)(-log(u) * OWN_TOKENS);
 }
 
-/* Starts a transfer, which ends when the link is free; false if it is given
- * up. */
+/* Starts a transfer, which keeps the link busy until it ends.  Returns false
+ * if it would have to wait too long for the link. */
 static bool
 transfer(store_t *store, double now, double tokens)
 {
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -72,9 +72,9 @@
 END_TEST
 
 /* Another host's requests evict parts too: it announces the tokens that they
- * brought in as a running total that wraps.  Its first announcement gives no
- * difference, and a restarted host counts from 0: the lower total must not
- * count as an increase of 4 billion. */
+ * added to the cache as a running total that wraps.  Its first announcement
+ * gives no difference, and a restarted host counts from 0: the lower total
+ * must not count as an increase of 4 billion. */
 START_TEST(requests_of_other_hosts_evict_too)
 {
     servers_t *servers = servers_new();
@@ -170,14 +170,14 @@
 #define SERVERS 6u
 #define FAMILIES 60u
 #define FAMILY_BLOCKS 240u
-#define OWN_BLOCKS 180u
+#define UNSHARED_BLOCKS 180u
 #define SMALL_CACHE_BLOCKS 2400u
-#define PER_SECOND 20.0
+#define REQUESTS_PER_S 20.0
 #define REQUESTS 2400u
 #define PREFILL_TOKENS_PER_S 48000.0
 #define WAIT_MEAN_MS 40.0
 /* Estimate by age: a part counts as held for this time after its use. */
-#define AGE_S 6.0
+#define HELD_AGE_MAX_S 6.0
 
 typedef struct {
     engine_cache_t *engine;
@@ -212,7 +212,7 @@
 {
     switch (estimate) {
         case ESTIMATE_AGE:
-            return now - server->used_s[family] < AGE_S;
+            return now - server->used_s[family] < HELD_AGE_MAX_S;
         case ESTIMATE_USE:
             return cached_parts_has(server->held, family);
         case ESTIMATE_EXACT:
@@ -237,11 +237,11 @@
         cached_parts_set_capacity(servers[i].held,
                                   (int64_t)SMALL_CACHE_BLOCKS * BLOCK_TOKENS);
         for (unsigned f = 0; f < FAMILIES; f++) {
-            servers[i].used_s[f] = -AGE_S;
+            servers[i].used_s[f] = -HELD_AGE_MAX_S;
         }
     }
     for (unsigned n = 0; n < REQUESTS; n++) {
-        double now = n / PER_SECOND;
+        double now = n / REQUESTS_PER_S;
         uint64_t family = rng_next(&rng) % FAMILIES;
         candidate_t all[SERVERS] = {0};
         prefix_t shared = {.tokens = FAMILY_BLOCKS * BLOCK_TOKENS};
@@ -263,9 +263,10 @@
         prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
                      BLOCK_TOKENS;
         engine_store_part(server->engine, family, FAMILY_BLOCKS);
-        engine_store_part(server->engine, own++, OWN_BLOCKS);
+        engine_store_part(server->engine, own++, UNSHARED_BLOCKS);
         use(server->held, family, FAMILY_BLOCKS * BLOCK_TOKENS);
-        cached_parts_add_unshared(server->held, OWN_BLOCKS * BLOCK_TOKENS);
+        cached_parts_add_unshared(server->held,
+                                  UNSHARED_BLOCKS * BLOCK_TOKENS);
         server->used_s[family] = now;
     }
     for (unsigned i = 0; i < SERVERS; i++) {
--- a/tests/test-claim.c
+++ b/tests/test-claim.c
@@ -11,7 +11,7 @@
 
 #define DAEMONS 3
 #define KEYS 12
-#define ATTEMPTS 3
+#define ATTEMPTS_MAX 3
 #define STEPS 4000
 #define RUNS 1500
 #define EXCHANGES_MAX 64
@@ -227,7 +227,7 @@
     char token[CS_ID_LEN + 1];
     int number = (int)rng_below(&sim->rng, KEYS);
     int daemon = (int)rng_below(&sim->rng, DAEMONS);
-    if (sim->attempt_counts[number] == ATTEMPTS) {
+    if (sim->attempt_counts[number] == ATTEMPTS_MAX) {
         return;
     }
     sim->attempt_counts[number]++;
--- a/tests/test-http-edges.c
+++ b/tests/test-http-edges.c
@@ -13,7 +13,8 @@
 
 /* Tests the HTTP server and client with each other and with raw sockets. */
 
-/* BASE is added to the port, so that concurrent runs do not conflict. */
+/* The environment variable BASE is added to the port, so that concurrent
+ * runs do not conflict. */
 #define PORT 6391
 #define BIG_BODY_LEN (16u << 20)
 
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -239,8 +239,8 @@
 
 /* Guards against two daemons that order one server at the same time, and
  * against an old holder that orders after a newer one.  The store loses
- * answers and does writes late; daemons freeze while they hold the lease, and
- * restart. */
+ * answers and applies writes late; daemons freeze while they hold the lease,
+ * and restart. */
 START_TEST(at_most_one_holder)
 {
     unsigned action_count = 0;
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -124,7 +124,8 @@
     return -1;
 }
 
-/* Stops a member; returns the ticks until every other table has it as dead. */
+/* Stops a member; returns the ticks until every other table lists it as
+ * dead. */
 static int
 ticks_to_detect(fleet_t *fleet, size_t target)
 {
@@ -367,7 +368,7 @@
     ck_assert_int_eq(peer_decode(&out, secret, data, len), 0);
     ck_assert_uint_eq(out.load_count, PEER_LOADS_MAX);
     ck_assert_int_eq(memcmp(out.loads, datagram.loads, sizeof(out.loads)), 0);
-    /* Truncated ones are never read past their end. */
+    /* Truncated datagrams are never read past their end. */
     rng_t rng = {7};
     for (int i = 0; i < 2000; i++) {
         (void)peer_decode(&out, secret, data, rng_below(&rng, len));
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -29,7 +29,7 @@
     double wait_ms;     /* for prompts queued ahead of it */
     double expected_ms; /* from its arrival until it is prefilled */
     int64_t received_ms;
-    double done_ms; /* its prompt is prefilled */
+    double prefilled_ms; /* end of the prefill of its prompt */
     bool finished;
 } placed_t;
 
@@ -43,7 +43,7 @@
     bool admission;
     int64_t run_ms;
     int64_t warm_ms;
-    size_t refused;
+    size_t rejected;
     double prefill_tokens; /* of prompts admitted after warm_ms */
     rng_t rng;
 } fleet_t;
@@ -128,7 +128,7 @@
         .remaining_ms = DEADLINE_MS,
         .engine = true};
     if (fleet->admission && admit_retry_after_ms(&ask) > 0) {
-        fleet->refused++;
+        fleet->rejected++;
         return;
     }
     fleet->prefill_tokens += now > fleet->warm_ms ? tokens : 0;
@@ -145,7 +145,7 @@
         .wait_ms = begin - (double)now,
         .expected_ms = request.expected_wait_ms + request.expected_prefill_ms,
         .received_ms = now,
-        .done_ms = fleet->free_ms[engine]};
+        .prefilled_ms = fleet->free_ms[engine]};
 }
 
 static void
@@ -153,13 +153,13 @@
 {
     for (size_t i = 0; i < fleet->count; i++) {
         placed_t *placed = &fleet->placed[i];
-        if (!placed->finished && placed->done_ms <= (double)now) {
+        if (!placed->finished && placed->prefilled_ms <= (double)now) {
             server_t *server = fleet->servers[placed->host][placed->engine];
             server_subtract_prefill(server, placed->tokens);
             server_remove_request(server);
-            forecast_update(&fleet->hosts[placed->host]->forecast,
-                            placed->expected_ms,
-                            placed->done_ms - (double)placed->received_ms);
+            forecast_update(
+                &fleet->hosts[placed->host]->forecast, placed->expected_ms,
+                placed->prefilled_ms - (double)placed->received_ms);
             placed->finished = true;
         }
     }
@@ -218,7 +218,7 @@
     size_t count = 0;
     for (size_t i = 0; i < fleet->count; i++) {
         const placed_t *placed = &fleet->placed[i];
-        if (placed->done_ms > (double)fleet->warm_ms) {
+        if (placed->prefilled_ms > (double)fleet->warm_ms) {
             waits[count++] = placed->wait_ms;
         }
     }
@@ -286,18 +286,18 @@
 }
 END_TEST
 
-/* Guards against refusing requests while the servers have capacity left. */
-START_TEST(no_request_is_refused_below_capacity)
+/* Guards against rejecting requests while the servers have capacity left. */
+START_TEST(no_request_is_rejected_below_capacity)
 {
     fleet_t *fleet = fleet_new(1);
     fleet->admission = true;
     fleet_run(fleet, 0.7, 1800);
-    ck_assert_uint_eq(fleet->refused, 0);
+    ck_assert_uint_eq(fleet->rejected, 0);
     fleet_free(fleet);
 }
 END_TEST
 
-/* Guards against refusing requests although servers are idle: the cost of
+/* Guards against rejecting requests although servers are idle: the cost of
  * older weights or of errors must not count as expected wait. */
 START_TEST(penalties_do_not_count_as_wait)
 {
@@ -323,4 +323,5 @@
 TEST_MAIN("place-fleet", small_prompts_spread_over_servers,
           large_prompts_spread_over_servers,
           overload_leaves_time_for_generation,
-          no_request_is_refused_below_capacity, penalties_do_not_count_as_wait)
+          no_request_is_rejected_below_capacity,
+          penalties_do_not_count_as_wait)
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -35,12 +35,12 @@
     sim_datagram_t in_flight[DATAGRAMS_MAX];
     size_t in_flight_count;
     quota_limit_t limit;
-    double load;        /* units requested a ms, of all hosts */
-    double skew;        /* share of the load that the first host gets */
-    unsigned lost;      /* percentage of datagrams lost */
-    double large;       /* units of the largest request */
-    double run[RUN_MS]; /* units allowed in each ms */
-    double exact;       /* level of the exact bucket */
+    double load;           /* units requested per ms by all hosts */
+    double skew;           /* share of the load that the first host gets */
+    unsigned loss_percent; /* percentage of datagrams lost */
+    double request_max;    /* units of the largest request */
+    double allowed_units[RUN_MS]; /* units allowed in each ms */
+    double exact_level;           /* level of the exact bucket */
     double requested;
     double within_limit;     /* units that the exact bucket allows */
     double wrongly_rejected; /* units within the limit that were rejected */
@@ -71,10 +71,10 @@
     sim_t *sim = mem_zalloc(sizeof(*sim));
     sim->hosts = hosts;
     sim->limit = (quota_limit_t){rate, rate};
-    sim->exact = rate;
+    sim->exact_level = rate;
     sim->rng.state = seed;
-    sim->lost = 1;
-    sim->large = 12000;
+    sim->loss_percent = 1;
+    sim->request_max = 12000;
     for (size_t i = 0; i < hosts; i++) {
         quotas_init(&sim->quotas[i], &bounds, 1, 0);
         sim_start_host(sim, i, 0);
@@ -96,7 +96,7 @@
 {
     for (size_t to = 0; to < sim->hosts; to++) {
         if (to == from || sim->group[to] != sim->group[from] ||
-            rng_below(&sim->rng, 100) < sim->lost) {
+            rng_below(&sim->rng, 100) < sim->loss_percent) {
             continue;
         }
         ck_assert_uint_lt(sim->in_flight_count, DATAGRAMS_MAX);
@@ -148,7 +148,8 @@
 static void
 sim_request(sim_t *sim, int64_t now)
 {
-    double cost = 200 + rng_unit(&sim->rng) * rng_unit(&sim->rng) * sim->large;
+    double cost =
+        200 + rng_unit(&sim->rng) * rng_unit(&sim->rng) * sim->request_max;
     size_t host = pick_host(sim);
     for (size_t i = 0; i < sim->hosts && sim->down[host]; i++) {
         host = (host + 1) % sim->hosts;
@@ -158,25 +159,26 @@
         return;
     }
     quotas_t *quotas = &sim->quotas[host];
-    bool within_limit = sim->exact >= cost;
+    bool within_limit = sim->exact_level >= cost;
     bool allowed =
         quota_try_spend(quotas, quotas_find(quotas, WORKSPACE), cost, now)
             .allowed;
-    sim->exact -= within_limit ? cost : 0;
+    sim->exact_level -= within_limit ? cost : 0;
     sim->within_limit += within_limit ? cost : 0;
     sim->wrongly_rejected += within_limit && !allowed ? cost : 0;
-    sim->run[now] += allowed ? cost : 0;
+    sim->allowed_units[now] += allowed ? cost : 0;
 }
 
 /* Runs the simulation from one moment to another. */
 static void
 sim_run(sim_t *sim, int64_t from, int64_t until)
 {
-    double mean = 200 + sim->large / 4;
+    double mean = 200 + sim->request_max / 4;
     for (int64_t now = from; now < until; now++) {
-        sim->exact += sim->limit.rate / 1000;
-        sim->exact =
-            sim->exact < sim->limit.burst ? sim->exact : sim->limit.burst;
+        sim->exact_level += sim->limit.rate / 1000;
+        sim->exact_level = sim->exact_level < sim->limit.burst
+                               ? sim->exact_level
+                               : sim->limit.burst;
         sim_deliver(sim, now);
         for (size_t i = 0; i < sim->hosts; i++) {
             static peer_datagram_t datagram;
@@ -234,8 +236,8 @@
     double sum = 0;
     double highest = 0;
     for (int64_t ms = 0; ms < RUN_MS; ms++) {
-        sum += sim->run[ms];
-        sum -= ms >= WINDOW_MS ? sim->run[ms - WINDOW_MS] : 0;
+        sum += sim->allowed_units[ms];
+        sum -= ms >= WINDOW_MS ? sim->allowed_units[ms - WINDOW_MS] : 0;
         highest = sum > highest ? sum : highest;
     }
     return highest / allowed;
@@ -279,7 +281,7 @@
             ck_assert_double_le(worst_window(sim), 1);
             double ran = 0;
             for (int64_t ms = 16000; ms < 28000; ms++) {
-                ran += sim->run[ms];
+                ran += sim->allowed_units[ms];
             }
             ck_assert_double_ge(ran, 0.95 * rates[i] * 12);
             sim_free(sim);
@@ -479,7 +481,7 @@
 START_TEST(a_refund_reaches_other_hosts)
 {
     sim_t *sim = sim_new(2, 10000, 1);
-    sim->lost = 0;
+    sim->loss_percent = 0;
     sim_run(sim, 0, 21000);
     quota_t *here = quotas_find(&sim->quotas[0], WORKSPACE);
     quota_t *there = quotas_find(&sim->quotas[1], WORKSPACE);
--- a/tests/test-retry-share.c
+++ b/tests/test-retry-share.c
@@ -56,10 +56,10 @@
 static int
 max_requests(const int *sums, int ms)
 {
-    static const int back[] = {0, WINDOW_MS / 2, WINDOW_MS};
+    static const int offsets_ms[] = {0, WINDOW_MS / 2, WINDOW_MS};
     int highest = 0;
-    for (size_t i = 0; i < sizeof(back) / sizeof(back[0]); i++) {
-        int end = ms - back[i];
+    for (size_t i = 0; i < sizeof(offsets_ms) / sizeof(offsets_ms[0]); i++) {
+        int end = ms - offsets_ms[i];
         int begin = end - WINDOW_MS;
         int sum = (end >= 0 ? sums[end + 1] : 0) -
                   (begin >= 0 ? sums[begin + 1] : 0);
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -79,7 +79,7 @@
 #define SIM_SERVERS 6
 #define SIM_SLOTS 4
 #define SIM_SLOT_TIME_MS 500.0
-#define SIM_PER_SECOND 30
+#define SIM_REQUESTS_PER_S 30
 #define SIM_SECONDS 60
 #define SIM_TARGET_MS 400.0
 #define SIM_SHARED_TOKENS 200
@@ -122,7 +122,7 @@
     servers_t *servers = servers_new();
     sim_server_t all[SIM_SERVERS] = {0};
     int in_time = 0;
-    int total = SIM_PER_SECOND * SIM_SECONDS;
+    int total = SIM_REQUESTS_PER_S * SIM_SECONDS;
     for (int i = 0; i < SIM_SERVERS; i++) {
         server_entry_t entry = on_old;
         (void)snprintf(entry.id, sizeof(entry.id), "s%d", i);
@@ -131,7 +131,7 @@
         server_observe_slot_time(all[i].server, SIM_SLOT_TIME_MS);
     }
     for (int n = 0; n < total; n++) {
-        double now = 1000 + n * 1000.0 / SIM_PER_SECOND;
+        double now = 1000 + n * 1000.0 / SIM_REQUESTS_PER_S;
         candidate_t candidates[SIM_SERVERS] = {0};
         prefix_t shared = {.tokens = SIM_SHARED_TOKENS};
         for (int i = 0; i < SIM_SERVERS; i++) {
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -128,7 +128,7 @@
     return NULL;
 }
 
-/* Render a section, the text between its two tags, if its name has a value;
+/* Renders a section, the text between its two tags, if its name has a value;
  * returns what follows the section. */
 static const char *
 render_section(const template_value_t *values, size_t count, const char *open,
--- a/tests/test-watch-duty.c
+++ b/tests/test-watch-duty.c
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-/* No watcher gets nearly all followers of equal watchers. */
+/* Of equal watchers none gets nearly all followers. */
 START_TEST(followers_spread_evenly)
 {
     member_t owners[] = {make_owner("b-1", "dc-b"), make_owner("b-2", "dc-b")};
@@ -69,8 +69,8 @@
 }
 END_TEST
 
-/* Guards against a fleet that asks the store itself as soon as one watcher has
- * lost it: followers go to another watcher, and return later. */
+/* Guards against followers that all poll the store as soon as their watcher
+ * cannot reach it: followers go to another watcher, and return later. */
 START_TEST(failed_watcher_is_avoided)
 {
     member_t owners[] = {make_owner("a-1", "dc-a"), make_owner("b-1", "dc-b"),
