--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -110,16 +110,16 @@
         for (unsigned i = 0; i < 4; i++) {
             prefix.levels[i] = (prefix_level_t){i + 1, 600 * (i + 1)};
         }
-        place_context_t scene = {
+        place_context_t context = {
             .config = config, .view = view, .cache = cache, .dc = "dc-1"};
-        place_query_t ask = {.prefix = &prefix};
+        place_query_t query = {.prefix = &prefix};
         const int rounds = 2000;
         double started_us = process_cpu_us();
         for (int i = 0; i < rounds; i++) {
-            size_t count = place_list_candidates(&scene, "m", &prefix, NULL,
+            size_t count = place_list_candidates(&context, "m", &prefix, NULL,
                                                  candidates, 256);
-            ask.placement_count +=
-                policy_find("cost")->choose(candidates, count, &ask);
+            query.placement_count +=
+                policy_find("cost")->choose(candidates, count, &query);
         }
         (void)printf("placement among %d backend servers: %.1f us\n", sizes[s],
                      (process_cpu_us() - started_us) / rounds);
--- a/soak/deployment.c
+++ b/soak/deployment.c
@@ -63,12 +63,12 @@
             "POST /admin/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %zu\r\n"
             "\r\n%s",
             path, soak->store_addr, strlen(body), body);
-    fetch_options_t ask = {.addr = soak->store_addr,
-                           .request = &call,
-                           .connect_ms = 1000,
-                           .total_ms = 3000,
-                           .on_done = on_admin_done};
-    (void)fetch_start(soak->exchanges, &ask);
+    fetch_options_t options = {.addr = soak->store_addr,
+                               .request = &call,
+                               .connect_ms = 1000,
+                               .total_ms = 3000,
+                               .on_done = on_admin_done};
+    (void)fetch_start(soak->exchanges, &options);
 }
 
 /* ---- processes ---- */
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -52,12 +52,12 @@
 serve(sim_caller_t *caller, double *free_at, bool admission, result_t *result)
 {
     double wait = *free_at > caller->at_ms ? *free_at - caller->at_ms : 0;
-    double left = caller->first_ms + DEADLINE_MS - caller->at_ms;
+    double remaining_ms = caller->first_ms + DEADLINE_MS - caller->at_ms;
     admit_input_t input = {
         .wait_ms = wait,
         .prefill_ms = caller->tokens / PREFILL_TOKENS_PER_MS,
         .target_ms = TARGET_MS,
-        .remaining_ms = (int64_t)left,
+        .remaining_ms = (int64_t)remaining_ms,
         .engine = true};
     int64_t after = admission ? admit_retry_after_ms(&input) : 0;
     if (after > 0) {
--- a/tests/test-cache-events.c
+++ b/tests/test-cache-events.c
@@ -150,7 +150,8 @@
 }
 END_TEST
 
-/* Guards against counting on a part after a peer announced its eviction. */
+/* Guards against a part that counts as held after a peer announced its
+ * eviction. */
 START_TEST(eviction_notice_of_a_peer_is_applied)
 {
     server_t *server;
@@ -169,7 +170,7 @@
 
 /* Guards against daemons that announce every request's unshared part, and
  * against shared parts that stay unknown after a restart. */
-START_TEST(part_is_announced_once_a_request_has_it)
+START_TEST(part_is_announced_once_a_request_uses_it)
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
@@ -198,8 +199,8 @@
 }
 END_TEST
 
-/* A part that is evicted before any request has it is forgotten. */
-START_TEST(part_evicted_before_any_request_is_forgotten)
+/* A part that is evicted before any request uses it is not announced. */
+START_TEST(part_evicted_before_any_request_is_not_announced)
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
@@ -219,9 +220,9 @@
 END_TEST
 
 /* Guards against every engine listing its cache to each daemon after all
- * daemons restarted, which stalls the engines: a daemon that has just started
- * follows nothing. */
-START_TEST(newly_started_daemon_follows_nothing)
+ * daemons restarted, which stalls the engines: a daemon that has just
+ * started follows no engine's cache. */
+START_TEST(newly_started_daemon_follows_no_cache)
 {
     server_t *server;
     relay_t *relay = relay_new_with_server("a", &server);
@@ -299,6 +300,6 @@
           events_give_changes_and_gaps, malformed_answer_is_an_error,
           peers_are_notified_of_changes_only,
           eviction_notice_of_a_peer_is_applied,
-          part_is_announced_once_a_request_has_it,
-          part_evicted_before_any_request_is_forgotten,
-          newly_started_daemon_follows_nothing, events_correct_the_estimate)
+          part_is_announced_once_a_request_uses_it,
+          part_evicted_before_any_request_is_not_announced,
+          newly_started_daemon_follows_no_cache, events_correct_the_estimate)
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -7,30 +7,30 @@
 #define HOSTS 78
 #define THREADS 764
 #define THREAD_TOKENS 5000
-#define OWN_TOKENS 6600
+#define UNSHARED_TOKENS_MEAN 6600
 #define PROMPTS_PER_S 155
 #define LINK_TOKENS_PER_MS 576.0
 #define TRANSFER_WAIT_MAX_MS 2000
 #define IN_TIME_MS 300
 #define EVICTED_OF_10 3 /* of 10 requested threads, evicted by the engine */
-#define SPAN_MS 20000
+#define RUN_MS 20000
 
 /* A store behind one link that makes its transfers one after the other. */
 typedef struct {
     double free_ms; /* time when the link becomes free */
     bool has[THREADS];
-    unsigned offered;
-    unsigned arrived;
+    unsigned saves_requested;
+    unsigned saves_completed;
     /* Of the evicted threads that were requested in the second half of the
      * run, the share fetched in time. */
-    double fetched;
+    double fetched_share;
 } store_t;
 
 static uint32_t
-own_tokens(rng_t *rng)
+random_unshared_tokens(rng_t *rng)
 {
     double u = (double)(1 + rng_below(rng, 1000000)) / 1000001;
-    return (uint32_t)(-log(u) * OWN_TOKENS);
+    return (uint32_t)(-log(u) * UNSHARED_TOKENS_MEAN);
 }
 
 /* Starts a transfer, which keeps the link busy until it ends.  Returns false
@@ -56,23 +56,24 @@
     rng_t rng = {11};
     unsigned requested = 0;
     unsigned fetched = 0;
-    for (int64_t now = 1; now <= SPAN_MS; now++) {
+    for (int64_t now = 1; now <= RUN_MS; now++) {
         if (rng_below(&rng, 1000) >= PROMPTS_PER_S) {
             continue;
         }
         size_t thread = rng_below(&rng, THREADS);
         bool same_dc = rng_below(&rng, 5) == 0;
-        const save_params_t params = {.link_tokens_per_ms = LINK_TOKENS_PER_MS,
-                                      .hosts = HOSTS,
-                                      .same_dc = same_dc,
-                                      .shared_tokens = THREAD_TOKENS,
-                                      .unshared_tokens = own_tokens(&rng)};
+        const save_params_t params = {
+            .link_tokens_per_ms = LINK_TOKENS_PER_MS,
+            .hosts = HOSTS,
+            .same_dc = same_dc,
+            .shared_tokens = THREAD_TOKENS,
+            .unshared_tokens = random_unshared_tokens(&rng)};
         double cost = same_dc ? 1.0 : 2.0;
-        bool counts = now > SPAN_MS / 2;
+        bool is_second_half = now > RUN_MS / 2;
         if (rng_below(&rng, 10) < EVICTED_OF_10) {
-            requested += counts;
+            requested += is_second_half;
             fetched +=
-                store.has[thread] && counts &&
+                store.has[thread] && is_second_half &&
                 transfer(&store, (double)now, params.shared_tokens * cost) &&
                 store.free_ms - (double)now < IN_TIME_MS;
         }
@@ -81,13 +82,13 @@
                                             &params, now))) {
             continue;
         }
-        store.offered++;
+        store.saves_requested++;
         store.has[thread] =
             transfer(&store, (double)now,
                      (params.shared_tokens + params.unshared_tokens) * cost);
-        store.arrived += store.has[thread];
+        store.saves_completed += store.has[thread];
     }
-    store.fetched = (double)fetched / requested;
+    store.fetched_share = (double)fetched / requested;
     return store;
 }
 
@@ -97,10 +98,10 @@
 {
     store_t all = simulate(false);
     store_t limited = simulate(true);
-    ck_assert_uint_eq(limited.arrived, limited.offered);
-    ck_assert_uint_lt(all.arrived, all.offered);
-    ck_assert_double_lt(all.fetched, 0.1);
-    ck_assert_double_gt(limited.fetched, 0.3);
+    ck_assert_uint_eq(limited.saves_completed, limited.saves_requested);
+    ck_assert_uint_lt(all.saves_completed, all.saves_requested);
+    ck_assert_double_lt(all.fetched_share, 0.1);
+    ck_assert_double_gt(limited.fetched_share, 0.3);
 }
 END_TEST
 
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -256,9 +256,9 @@
                 place_rendezvous_weight(family, i % 2 == 0 ? "a" : "b") + i;
             all[i].same_dc = true;
         }
-        place_query_t ask = {.prefix = &shared,
-                             .objective = OBJECTIVE_TAIL_LATENCY};
-        size_t best = policy_find("cost")->choose(all, SERVERS, &ask);
+        place_query_t query = {.prefix = &shared,
+                               .objective = OBJECTIVE_TAIL_LATENCY};
+        size_t best = policy_find("cost")->choose(all, SERVERS, &query);
         sim_server_t *server = &servers[best];
         prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
                      BLOCK_TOKENS;
--- a/tests/test-claim.c
+++ b/tests/test-claim.c
@@ -20,7 +20,7 @@
 typedef struct {
     bool live;
     int daemon;
-    int incarnation; /* the daemon's when sent; -1: timed out */
+    int incarnation; /* of the sending daemon; -1 after its timeout */
     int64_t effect_ms;
     int64_t answer_ms;
     bool applied;
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -37,7 +37,7 @@
     char old_holder[LEASE_HOLDER_MAX];
     late_write_t late[LATE_WRITES_MAX];
     lease_t leases[DAEMONS];
-    int64_t frozen_ms[DAEMONS]; /* does not run until then */
+    int64_t frozen_until_ms[DAEMONS]; /* no daemon runs before its time */
     unsigned starts;
     int last_actor; /* index of the last daemon to act, or -1 */
     int64_t highest_fence;
@@ -172,7 +172,7 @@
     int holders = 0;
     for (int i = 0; i < DAEMONS; i++) {
         const lease_t *lease = &sim->leases[i];
-        if (sim->now_ms < sim->frozen_ms[i] ||
+        if (sim->now_ms < sim->frozen_until_ms[i] ||
             !lease_is_held(lease, sim->now_ms)) {
             continue;
         }
@@ -199,7 +199,7 @@
     int daemon = (int)rng_below(&sim->rng, DAEMONS);
     switch (rng_below(&sim->rng, 400)) {
         case 0:
-            sim->frozen_ms[daemon] =
+            sim->frozen_until_ms[daemon] =
                 sim->now_ms + (int64_t)rng_below(&sim->rng, 8000);
             return;
         case 1:
@@ -226,7 +226,7 @@
         do_late_writes(sim);
         inject_fault(sim);
         for (int i = 0; i < DAEMONS; i++) {
-            if (sim->now_ms >= sim->frozen_ms[i]) {
+            if (sim->now_ms >= sim->frozen_until_ms[i]) {
                 daemon_step(sim, &sim->leases[i]);
             }
         }
--- a/tests/test-peer-loads.c
+++ b/tests/test-peer-loads.c
@@ -76,10 +76,10 @@
 }
 END_TEST
 
-/* Guards against a server that looks idle as soon as it has caught up: tokens
- * that other hosts sent to it stay booked for longer than it takes to read
- * them. */
-START_TEST(tokens_of_other_hosts_are_booked)
+/* Guards against a server that looks idle as soon as it has read all its
+ * prompts: tokens that other hosts sent to it count in its backlog for
+ * longer than it takes to read them. */
+START_TEST(tokens_of_other_hosts_count_in_the_backlog)
 {
     static peer_datagram_t datagram;
     pair_t pair;
@@ -114,5 +114,6 @@
 END_TEST
 
 TEST_MAIN("peer-loads", small_prompts_are_announced,
-          unchanged_load_is_announced_again, tokens_of_other_hosts_are_booked,
+          unchanged_load_is_announced_again,
+          tokens_of_other_hosts_count_in_the_backlog,
           loads_of_unknown_servers_are_ignored)
--- a/tests/test-peers-apply.c
+++ b/tests/test-peers-apply.c
@@ -56,9 +56,9 @@
 }
 END_TEST
 
-/* A peer may know servers or stores that this host does not know yet, as when
- * it has another configuration, and a fact may lack a holder.  Such facts are
- * ignored. */
+/* A peer may know servers or stores that this host does not know yet, as
+ * when it has another configuration, and a fact may name no holder.  Such
+ * facts are ignored. */
 START_TEST(facts_about_unknown_holders_are_ignored)
 {
     server_t *server;
@@ -77,8 +77,8 @@
 END_TEST
 
 /* While a peer reports that a server is loading weights it gets no requests,
- * and its cached parts are forgotten once it has newer weights.  The load that
- * the server reported to that peer is applied too. */
+ * and its estimated cache contents are cleared once it has newer weights.
+ * The load that the server reported to that peer is applied too. */
 START_TEST(loads_and_weights_from_peers_are_applied)
 {
     server_t *server;
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -120,14 +120,14 @@
     request.affinity_key = rng_next(&fleet->rng);
     server_t *server = request_choose_server(&request, now);
     ck_assert_ptr_nonnull(server);
-    const admit_input_t ask = {
+    const admit_input_t input = {
         .wait_ms = request.expected_wait_ms,
         .prefill_ms = request.expected_prefill_ms,
         .margin_ms = forecast_margin_ms(&request.relay->forecast),
         .target_ms = TARGET_MS,
         .remaining_ms = DEADLINE_MS,
         .engine = true};
-    if (fleet->admission && admit_retry_after_ms(&ask) > 0) {
+    if (fleet->admission && admit_retry_after_ms(&input) > 0) {
         fleet->rejected++;
         return;
     }
--- a/tests/test-quota.c
+++ b/tests/test-quota.c
@@ -173,7 +173,7 @@
 static void
 sim_run(sim_t *sim, int64_t from, int64_t until)
 {
-    double mean = 200 + sim->request_max / 4;
+    double mean_cost = 200 + sim->request_max / 4;
     for (int64_t now = from; now < until; now++) {
         sim->exact_level += sim->limit.rate / 1000;
         sim->exact_level = sim->exact_level < sim->limit.burst
@@ -190,12 +190,12 @@
                 sim_send(sim, i, &datagram, now);
             }
         }
-        double expect = sim->load / mean;
-        while (expect > 0) {
-            if (rng_unit(&sim->rng) < expect) {
+        double expected_requests = sim->load / mean_cost;
+        while (expected_requests > 0) {
+            if (rng_unit(&sim->rng) < expected_requests) {
                 sim_request(sim, now);
             }
-            expect -= 1;
+            expected_requests -= 1;
         }
     }
 }
--- a/tests/test-retry-share.c
+++ b/tests/test-retry-share.c
@@ -42,8 +42,9 @@
                 request_sum -= requests[ms - WINDOW_MS];
                 retry_sum -= retries[ms - WINDOW_MS];
             }
-            /* Budget from requests in the slice that has just left the window
-             * may still be spent: one slice of 20. */
+            /* Budget from requests in the slice that has just left the
+             * window may still be spent.  A slice of 500 ms has fewer than
+             * 100 requests. */
             ck_assert_double_le(retry_sum,
                                 RATIO * request_sum + SLACK + 0.2 * 100);
         }
--- a/tests/test-rollout-plan.c
+++ b/tests/test-rollout-plan.c
@@ -22,9 +22,10 @@
     return servers_put(servers, &entry);
 }
 
-/* A long answer for another host runs on a server.  The server is ordered when
- * that host reports that it has ended, or after ROLLOUT_DRAIN_MS, so that a
- * host that stops reporting does not block the rollout. */
+/* A long answer for another host runs on a server.  The server is ordered to
+ * load when that host reports that the answer has ended, or after
+ * ROLLOUT_DRAIN_MS, so that a host that stops reporting does not block the
+ * rollout. */
 START_TEST(server_is_ordered_when_drained)
 {
     servers_t *servers = servers_new();
@@ -51,8 +52,8 @@
 
 typedef struct {
     server_t *server;
-    int64_t ends_ms;          /* end of its longest running answer */
-    int64_t drain_started_ms; /* 0 until it is picked */
+    int64_t answer_ends_ms;   /* when its longest running answer ends */
+    int64_t drain_started_ms; /* 0 until the plan picks the server */
     int64_t load_left_ms;
     bool loading;
 } sim_server_t;
@@ -76,12 +77,12 @@
 }
 
 static void
-step_server(sim_server_t *sim, int loading, int64_t now)
+step_server(sim_server_t *sim, int loading_count, int64_t now)
 {
     if (sim->drain_started_ms == 0 || sim->server->info.weights == 2) {
         return;
     }
-    if (now >= sim->ends_ms && sim->server->own_running > 0) {
+    if (now >= sim->answer_ends_ms && sim->server->own_running > 0) {
         server_remove_request(sim->server);
     }
     if (!sim->loading) {
@@ -90,8 +91,8 @@
         sim->load_left_ms = LOAD_MS;
         return;
     }
-    sim->load_left_ms -= loading > FULL_SPEED_LOADS_MAX
-                             ? STEP_MS * FULL_SPEED_LOADS_MAX / loading
+    sim->load_left_ms -= loading_count > FULL_SPEED_LOADS_MAX
+                             ? STEP_MS * FULL_SPEED_LOADS_MAX / loading_count
                              : STEP_MS;
     if (sim->load_left_ms <= 0) {
         sim->server->info.weights = 2;
@@ -107,29 +108,29 @@
     servers_t *servers = servers_new();
     sim_server_t all[SERVERS] = {0};
     int64_t now = 1000;
-    int left = SERVERS;
+    int pending = SERVERS;
     for (int i = 0; i < SERVERS; i++) {
         all[i].server = server_add(servers, i);
         server_add_request(all[i].server, 0, now);
     }
-    while (left > 0 && now < 60000) {
-        int loading = 0;
-        left = 0;
+    while (pending > 0 && now < 60000) {
+        int loading_count = 0;
+        pending = 0;
         order_picked(servers, all, now);
         for (int i = 0; i < SERVERS; i++) {
-            loading += all[i].loading && all[i].server->info.weights < 2;
+            loading_count += all[i].loading && all[i].server->info.weights < 2;
             if (all[i].drain_started_ms == 0) {
-                all[i].ends_ms = now + 3000;
+                all[i].answer_ends_ms = now + 3000;
             }
         }
         for (int i = 0; i < SERVERS; i++) {
-            step_server(&all[i], loading, now);
-            left += all[i].server->info.weights < 2;
+            step_server(&all[i], loading_count, now);
+            pending += all[i].server->info.weights < 2;
         }
         now += STEP_MS;
     }
     printf("all on the new weights after %lld ms\n", (long long)(now - 1000));
-    ck_assert_int_eq(left, 0);
+    ck_assert_int_eq(pending, 0);
     ck_assert_int_le(now - 1000, ROLLOUT_MAX_MS);
     servers_free(servers);
 }
--- a/tests/test-servers.c
+++ b/tests/test-servers.c
@@ -108,8 +108,9 @@
 {
     int taken = 0;
     for (int i = 0; i < SIM_SLOTS; i++) {
-        double left = sim->free_ms[i] - now;
-        taken += left > 0 ? (int)(left / SIM_SLOT_TIME_MS) + 1 : 0;
+        double remaining_ms = sim->free_ms[i] - now;
+        taken +=
+            remaining_ms > 0 ? (int)(remaining_ms / SIM_SLOT_TIME_MS) + 1 : 0;
     }
     server_set_load(sim->server, taken, 0, (int64_t)now);
 }
@@ -143,10 +144,10 @@
             candidates[i].rendezvous_weight =
                 place_rendezvous_weight(7, all[i].server->info.id);
         }
-        place_query_t ask = {.prefix = &shared,
-                             .objective = OBJECTIVE_TAIL_LATENCY};
+        place_query_t query = {.prefix = &shared,
+                               .objective = OBJECTIVE_TAIL_LATENCY};
         size_t best =
-            policy_find("cost")->choose(candidates, SIM_SERVERS, &ask);
+            policy_find("cost")->choose(candidates, SIM_SERVERS, &query);
         in_time += sim_take_slot(&all[best], now) <= SIM_TARGET_MS ? 1 : 0;
     }
     printf("in time: %d of %d\n", in_time, total);
