--- a/soak/callers.c
+++ b/soak/callers.c
@@ -16,7 +16,8 @@
 /* A final answer may arrive this long after the route's timeout. */
 #define ANSWER_MARGIN_MS 500
 /* A relay rejects a removed key at the latest this long after the removal,
- * if it reaches the store or another relay that reaches the store. */
+ * if it reaches the store or another relay that reaches the store.  The
+ * check allows 10 s. */
 #define KEY_REMOVAL_MS 2000
 /* At least this share of the requests in the recovery phase must succeed. */
 #define RECOVERY_SUCCESS_SHARE 0.95
--- a/soak/faults.c
+++ b/soak/faults.c
@@ -9,8 +9,8 @@
  * overlap. */
 
 /* Time between the starts of two faults: minimum, and random part on top. */
-#define PAUSE_MS_MIN 150
-#define PAUSE_RANGE_MS 900
+#define INTERVAL_MS_MIN 150
+#define INTERVAL_RANGE_MS 900
 /* Duration of a fault: minimum, and random part on top. */
 #define DURATION_MS_MIN 200
 #define DURATION_RANGE_MS 2500
@@ -49,7 +49,7 @@
 typedef struct fault {
     CK_LIST_ENTRY(fault) entry;
     fault_kind_t kind;
-    size_t target;
+    size_t target; /* index of a relay or server, modulo their number */
     int64_t until_ms;
 } fault_t;
 
@@ -114,7 +114,7 @@
 {
     process_t *process = &relay->process;
     if (process->pid == 0 || process->stopping || process->paused) {
-        return; /* one fault per relay at a time */
+        return; /* one process fault per relay at a time */
     }
     if (kind == FAULT_RELAY_RELOAD) {
         process_signal(process, SIGHUP);
@@ -290,7 +290,7 @@
     }
     if (now >= next_fault_ms && now < soak->faults_end_ms) {
         start_random_fault(soak, now);
-        next_fault_ms = now + PAUSE_MS_MIN +
-                        (int64_t)rng_below(&soak->rng, PAUSE_RANGE_MS);
+        next_fault_ms = now + INTERVAL_MS_MIN +
+                        (int64_t)rng_below(&soak->rng, INTERVAL_RANGE_MS);
     }
 }
--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -59,12 +59,12 @@
         .target_ms = TARGET_MS,
         .remaining_ms = (int64_t)remaining_ms,
         .engine = true};
-    int64_t after = admission ? admit_retry_after_ms(&input) : 0;
-    if (after > 0) {
+    int64_t retry_after_ms = admission ? admit_retry_after_ms(&input) : 0;
+    if (retry_after_ms > 0) {
         caller->done = caller->retried;
         result->rejected += caller->retried ? 1 : 0;
         caller->retried = true;
-        caller->at_ms += (double)after;
+        caller->at_ms += (double)retry_after_ms;
         return;
     }
     caller->done = true;
@@ -108,14 +108,15 @@
  * with it most of the requests that the engine can read are in time. */
 START_TEST(overload_does_not_make_all_answers_late)
 {
-    result_t before = simulate(1.5, false);
-    result_t after = simulate(1.5, true);
-    unsigned callers =
-        before.in_time + before.late + before.rejected + before.timed_out;
-    ck_assert_uint_gt(before.timed_out, callers * 6 / 10);
-    ck_assert_uint_gt(after.in_time, callers * 6 / 10);
-    ck_assert_uint_gt(after.in_time, before.in_time * 4);
-    ck_assert_uint_eq(after.timed_out, 0);
+    result_t without_admission = simulate(1.5, false);
+    result_t with_admission = simulate(1.5, true);
+    unsigned callers = without_admission.in_time + without_admission.late +
+                       without_admission.rejected +
+                       without_admission.timed_out;
+    ck_assert_uint_gt(without_admission.timed_out, callers * 6 / 10);
+    ck_assert_uint_gt(with_admission.in_time, callers * 6 / 10);
+    ck_assert_uint_gt(with_admission.in_time, without_admission.in_time * 4);
+    ck_assert_uint_eq(with_admission.timed_out, 0);
 }
 END_TEST
 
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -139,8 +139,8 @@
         rng_t rng = {.state = seed};
         engine_cache_t *engine = engine_cache_new(ENGINE_BLOCKS);
         cached_parts_t *held = cached_parts_new();
-        uint32_t late = 0;
-        uint64_t own = 1000;
+        uint32_t unreported_tokens = 0;
+        uint64_t next_unshared_key = 1000;
         cached_parts_set_capacity(held, (int64_t)ENGINE_BLOCKS * BLOCK_TOKENS);
         for (unsigned i = 0; i < 600; i++) {
             uint64_t key = rng_next(&rng) % PARTS;
@@ -150,12 +150,12 @@
                 estimated == engine_holds(engine, key, PART_BLOCKS) ? 1 : 0;
             total++;
             engine_store_part(engine, key, PART_BLOCKS);
-            engine_store_part(engine, own++, blocks);
+            engine_store_part(engine, next_unshared_key++, blocks);
             use(held, key, PART_BLOCKS * BLOCK_TOKENS);
-            late += (uint32_t)blocks * BLOCK_TOKENS;
+            unreported_tokens += (uint32_t)blocks * BLOCK_TOKENS;
             if (rng_next(&rng) % 5 != 0) {
-                cached_parts_add_unshared(held, late);
-                late = 0;
+                cached_parts_add_unshared(held, unreported_tokens);
+                unreported_tokens = 0;
             }
         }
         cached_parts_free(held);
@@ -230,7 +230,7 @@
     rng_t rng = {.state = seed};
     sim_server_t servers[SERVERS] = {0};
     double prefilled = 0;
-    uint64_t own = 1000;
+    uint64_t next_unshared_key = 1000;
     for (unsigned i = 0; i < SERVERS; i++) {
         servers[i].engine = engine_cache_new(SMALL_CACHE_BLOCKS);
         servers[i].held = cached_parts_new();
@@ -263,7 +263,8 @@
         prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
                      BLOCK_TOKENS;
         engine_store_part(server->engine, family, FAMILY_BLOCKS);
-        engine_store_part(server->engine, own++, UNSHARED_BLOCKS);
+        engine_store_part(server->engine, next_unshared_key++,
+                          UNSHARED_BLOCKS);
         use(server->held, family, FAMILY_BLOCKS * BLOCK_TOKENS);
         cached_parts_add_unshared(server->held,
                                   UNSHARED_BLOCKS * BLOCK_TOKENS);
--- a/tests/test-kv-stores.c
+++ b/tests/test-kv-stores.c
@@ -36,12 +36,12 @@
     return rng_next(&rng);
 }
 
-/* Saves all parts in turn, twice, and returns how many of them the stores hold
- * in the end. */
+/* Saves all parts in turn, twice, and returns how many of them the stores
+ * are estimated to hold then. */
 static unsigned
-parts_kept(kv_stores_t *stores)
+save_and_count_parts(kv_stores_t *stores)
 {
-    unsigned kept = 0;
+    unsigned held_count = 0;
     for (unsigned i = 0; i < 2 * PARTS; i++) {
         uint64_t key = part_key(i % PARTS);
         const cached_part_t part = {key, PART_TOKENS, PART_TOKENS};
@@ -50,12 +50,12 @@
     }
     for (unsigned i = 0; i < PARTS; i++) {
         uint64_t key = part_key(i);
-        kept += cached_parts_has(
-                    stores->all[kv_stores_choose(stores, key)].held, key)
-                    ? 1
-                    : 0;
+        held_count += cached_parts_has(
+                          stores->all[kv_stores_choose(stores, key)].held, key)
+                          ? 1
+                          : 0;
     }
-    return kept;
+    return held_count;
 }
 
 /* Guards against using only one of several stores, so that parts are prefilled
@@ -67,9 +67,9 @@
     relay_config_t *one = config_with_stores(1, 9);
     relay_config_t *three = config_with_stores(3, 9);
     kv_stores_sync(&stores, one);
-    ck_assert_uint_lt(parts_kept(&stores), PARTS);
+    ck_assert_uint_lt(save_and_count_parts(&stores), PARTS);
     kv_stores_sync(&stores, three);
-    ck_assert_uint_eq(parts_kept(&stores), PARTS);
+    ck_assert_uint_eq(save_and_count_parts(&stores), PARTS);
     kv_stores_free(&stores);
     relay_config_release(one);
     relay_config_release(three);
@@ -85,7 +85,7 @@
     relay_config_t *two = config_with_stores(3, 1);
     char before[PARTS][CS_NAME_MAX];
     kv_stores_sync(&stores, three);
-    (void)parts_kept(&stores);
+    (void)save_and_count_parts(&stores);
     for (unsigned i = 0; i < PARTS; i++) {
         int index = kv_stores_choose(&stores, part_key(i));
         str_copy(before[i], CS_NAME_MAX, stores.all[index].name);
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -37,7 +37,7 @@
     char old_holder[LEASE_HOLDER_MAX];
     late_write_t late[LATE_WRITES_MAX];
     lease_t leases[DAEMONS];
-    int64_t frozen_until_ms[DAEMONS]; /* no daemon runs before its time */
+    int64_t frozen_until_ms[DAEMONS]; /* end of each daemon's freeze */
     unsigned starts;
     int last_actor; /* index of the last daemon to act, or -1 */
     int64_t highest_fence;
--- a/tests/test-members.c
+++ b/tests/test-members.c
@@ -111,7 +111,7 @@
     return found;
 }
 
-/* Ticks until the first table has all members. */
+/* Returns the ticks until the first table lists all members, or -1. */
 static int
 ticks_to_discover_all(fleet_t *fleet)
 {
@@ -125,7 +125,7 @@
 }
 
 /* Stops a member; returns the ticks until every other table lists it as
- * dead. */
+ * dead, or -1. */
 static int
 ticks_to_detect(fleet_t *fleet, size_t target)
 {
--- a/tests/test-object-cache.c
+++ b/tests/test-object-cache.c
@@ -18,9 +18,9 @@
 }
 
 /* Guards against live servers that get no new weights: while the store is
- * unreachable, a daemon applies an outdated list of another one and loses
- * entries that it knew at newer revisions.  Then it serves its own list to the
- * daemon that orders the loads, which treats their servers as removed. */
+ * unreachable, a daemon applies another daemon's outdated list and loses
+ * entries that it knew at newer revisions.  Then it serves its own list to
+ * the daemon that orders the loads, which treats their servers as removed. */
 START_TEST(outdated_list_keeps_newer_objects)
 {
     relay_t *relay = mem_zalloc(sizeof(*relay));
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -124,13 +124,13 @@
 {
     sched_t *sched = sched_new(&(sched_opts_t){.total_max = 10});
     sched_item_t *evicted;
-    sched_item_t *late = item_new("w", 1, 10);
+    sched_item_t *expired = item_new("w", 1, 10);
     ck_assert(sched_push(sched, item_new("w", 1, 10), &evicted));
-    late->deadline_ms = 5;
-    ck_assert(sched_push(sched, late, &evicted));
+    expired->deadline_ms = 5;
+    ck_assert(sched_push(sched, expired, &evicted));
     ck_assert_ptr_null(sched_take_expired(sched, 4));
-    ck_assert_ptr_eq(sched_take_expired(sched, 5), late);
-    free(late);
+    ck_assert_ptr_eq(sched_take_expired(sched, 5), expired);
+    free(expired);
     ck_assert(sched_retry_after_s(sched, 10) >= 1);
     drain(sched);
 }
