--- a/soak/callers.c
+++ b/soak/callers.c
@@ -188,8 +188,8 @@
 {
     int64_t ms =
         (int64_t)rng_below(&caller->callers->soak->rng, THINK_MS_MAX) + 1;
-    struct timeval after = {0, ms * 1000};
-    (void)event_add(caller->timer, &after);
+    struct timeval delay = {0, ms * 1000};
+    (void)event_add(caller->timer, &delay);
 }
 
 static void
@@ -281,9 +281,9 @@
         .head_len = head.len,
         .connect_ms = 1000,
         .total_ms = DEADLINE_MS + 2000};
-    exchange_hooks_t own = hooks;
-    own.arg = caller;
-    caller->exchange = exchange_start(soak->exchanges, &call, &own);
+    exchange_hooks_t caller_hooks = hooks;
+    caller_hooks.arg = caller;
+    caller->exchange = exchange_start(soak->exchanges, &call, &caller_hooks);
 }
 
 static void
@@ -311,7 +311,7 @@
     return callers;
 }
 
-/* Sends no new requests; those in flight end by themselves. */
+/* Sends no new requests; those in flight are not cancelled. */
 void
 callers_stop(callers_t *callers)
 {
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -143,7 +143,7 @@
 static int
 soak_open(soak_t *soak, const args_t *args, err_t *err)
 {
-    static const struct timeval step = {0, TICK_MS * 1000};
+    static const struct timeval interval = {0, TICK_MS * 1000};
     soak->seed = args->seed;
     soak->rng.state = args->seed;
     soak->build = args->build;
@@ -161,7 +161,7 @@
     struct event *child = evsignal_new(soak->base, SIGCHLD, on_child, soak);
     struct event *tick = event_new(soak->base, -1, EV_PERSIST, on_tick, soak);
     (void)event_add(child, NULL);
-    (void)event_add(tick, &step);
+    (void)event_add(tick, &interval);
     soak->start_ms = time_mono_ms() + SETTLE_MS;
     soak->faults_end_ms = soak->start_ms + (int64_t)args->seconds * 1000;
     soak->end_ms = soak->faults_end_ms + RECOVERY_MS;
--- a/tests/test-claim.c
+++ b/tests/test-claim.c
@@ -56,7 +56,7 @@
 {
     claim_action_t *action = &exchange->action;
     json_t *object = json_object_get(sim->objects, action->object);
-    int64_t have = json_int(object, "version", 0);
+    int64_t current_version = json_int(object, "version", 0);
     exchange->applied = true;
     if (sim->now_ms < sim->down_until_ms) {
         exchange->reply.result = STORE_REFUSED;
@@ -64,11 +64,11 @@
     }
     if (action->kind == CLAIM_ACTION_GET) {
         exchange->reply.result = object == NULL ? STORE_ABSENT : STORE_OK;
-        exchange->reply.version = have;
+        exchange->reply.version = current_version;
         exchange->value = json_deep_copy(json_object_get(object, "value"));
         return;
     }
-    if (sim->conditional && action->version != have) {
+    if (sim->conditional && action->version != current_version) {
         exchange->reply.result = STORE_CONFLICT;
         return;
     }
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -9,13 +9,13 @@
  * stale reads, and daemons that freeze or restart. */
 
 #define DAEMONS 4
-#define DURATION_MS 3000
+#define LEASE_MS 3000
 #define STEP_MS 20
 #define RUN_MS 60000
 #define LATE_WRITES_MAX 16
 
 typedef struct {
-    bool used;
+    bool pending;
     int64_t due_ms;
     int64_t revision; /* condition of the write */
     char holder[LEASE_HOLDER_MAX];
@@ -31,10 +31,11 @@
     int64_t fence;
     int64_t writes;
     char holder[LEASE_HOLDER_MAX];
-    int64_t old_revision; /* returned by a stale read */
-    int64_t old_fence;
-    int64_t old_writes;
-    char old_holder[LEASE_HOLDER_MAX];
+    int64_t previous_revision; /* before the last write; returned by a stale
+                                  read */
+    int64_t previous_fence;
+    int64_t previous_writes;
+    char previous_holder[LEASE_HOLDER_MAX];
     late_write_t late[LATE_WRITES_MAX];
     lease_t leases[DAEMONS];
     int64_t frozen_until_ms[DAEMONS]; /* end of each daemon's freeze */
@@ -47,10 +48,10 @@
 static void
 write_now(sim_t *sim, const char *holder, int64_t fence, int64_t writes)
 {
-    sim->old_revision = sim->revision;
-    sim->old_fence = sim->fence;
-    sim->old_writes = sim->writes;
-    str_copy(sim->old_holder, sizeof(sim->old_holder), sim->holder);
+    sim->previous_revision = sim->revision;
+    sim->previous_fence = sim->fence;
+    sim->previous_writes = sim->writes;
+    str_copy(sim->previous_holder, sizeof(sim->previous_holder), sim->holder);
     sim->exists = true;
     sim->revision++;
     sim->fence = fence;
@@ -63,10 +64,10 @@
 {
     for (size_t i = 0; i < LATE_WRITES_MAX; i++) {
         late_write_t *late = &sim->late[i];
-        if (late->used) {
+        if (late->pending) {
             continue;
         }
-        late->used = true;
+        late->pending = true;
         late->due_ms = sim->now_ms + 500 + (int64_t)rng_below(&sim->rng, 5500);
         late->revision = lease->revision;
         late->fence = lease->requested_fence;
@@ -78,14 +79,14 @@
 }
 
 static void
-do_late_writes(sim_t *sim)
+apply_late_writes(sim_t *sim)
 {
     for (size_t i = 0; i < LATE_WRITES_MAX; i++) {
         late_write_t *late = &sim->late[i];
-        if (!late->used || sim->now_ms < late->due_ms) {
+        if (!late->pending || sim->now_ms < late->due_ms) {
             continue;
         }
-        late->used = false;
+        late->pending = false;
         if (sim->exists && late->revision == sim->revision) {
             write_now(sim, late->holder, late->fence, late->writes);
         }
@@ -97,7 +98,7 @@
 {
     char name[32];
     (void)snprintf(name, sizeof(name), "d%d/%u", daemon, sim->starts++);
-    lease_init(&sim->leases[daemon], name, DURATION_MS);
+    lease_init(&sim->leases[daemon], name, LEASE_MS);
     lease_set_rank(&sim->leases[daemon], (size_t)daemon);
 }
 
@@ -112,7 +113,7 @@
 }
 
 static void
-do_write(sim_t *sim, lease_t *lease, bool create)
+handle_write(sim_t *sim, lease_t *lease, bool create)
 {
     bool condition_holds =
         create ? !sim->exists
@@ -146,16 +147,16 @@
         return; /* the store rejected the call */
     }
     if (step != LEASE_READ) {
-        do_write(sim, lease, step == LEASE_CREATE);
+        handle_write(sim, lease, step == LEASE_CREATE);
     }
     else if (!sim->exists) {
         lease_observe_absent(lease);
     }
-    else if (rng_below(&sim->rng, 100) < 20 && sim->old_revision > 0) {
-        lease_record_t record = {.revision = sim->old_revision,
-                                 .holder = sim->old_holder,
-                                 .fence = sim->old_fence,
-                                 .writes = sim->old_writes};
+    else if (rng_below(&sim->rng, 100) < 20 && sim->previous_revision > 0) {
+        lease_record_t record = {.revision = sim->previous_revision,
+                                 .holder = sim->previous_holder,
+                                 .fence = sim->previous_fence,
+                                 .writes = sim->previous_writes};
         lease_observe(lease, &record, sim->now_ms);
     }
     else {
@@ -223,7 +224,7 @@
         daemon_start(sim, i);
     }
     for (sim->now_ms = 1; sim->now_ms < RUN_MS; sim->now_ms += STEP_MS) {
-        do_late_writes(sim);
+        apply_late_writes(sim);
         inject_fault(sim);
         for (int i = 0; i < DAEMONS; i++) {
             if (sim->now_ms >= sim->frozen_until_ms[i]) {
@@ -257,7 +258,7 @@
 START_TEST(released_lease_is_free_at_once)
 {
     lease_t lease;
-    lease_init(&lease, "b/1", DURATION_MS);
+    lease_init(&lease, "b/1", LEASE_MS);
     lease_step_sent(&lease, LEASE_READ, 10);
     lease_observe(&lease,
                   &(lease_record_t){
@@ -285,7 +286,7 @@
 START_TEST(suspended_holder_does_not_act)
 {
     lease_t lease;
-    lease_init(&lease, "a/1", DURATION_MS);
+    lease_init(&lease, "a/1", LEASE_MS);
     lease_observe_absent(&lease);
     ck_assert_int_eq(lease_next_step(&lease, 1), LEASE_CREATE);
     lease_step_sent(&lease, LEASE_CREATE, 1);
@@ -312,7 +313,7 @@
     lease_record_t free = {.revision = 7, .holder = "", .fence = 3};
     lease_record_t first = {
         .revision = 8, .holder = "a/1", .fence = 4, .writes = 1};
-    lease_init(&lease, "a/1", DURATION_MS);
+    lease_init(&lease, "a/1", LEASE_MS);
     lease_observe(&lease, &free, 10);
     lease_step_sent(&lease, LEASE_WRITE, 1000);
     lease_set_outcome_unknown(&lease);
@@ -337,13 +338,13 @@
     unsigned at_once = 0;
     for (size_t rank = 0; rank < 35; rank++) {
         lease_t lease;
-        lease_init(&lease, "a/1", DURATION_MS);
+        lease_init(&lease, "a/1", LEASE_MS);
         lease_set_rank(&lease, rank);
         lease_observe(&lease, &free, 1000);
         lease_step_sent(&lease, LEASE_READ, 1000);
         at_once += lease_next_step(&lease, 1010) == LEASE_WRITE;
         ck_assert(rank > 0 || lease_next_step(&lease, 1010) == LEASE_WRITE);
-        ck_assert_int_eq(lease_next_step(&lease, 1000 + DURATION_MS),
+        ck_assert_int_eq(lease_next_step(&lease, 1000 + LEASE_MS),
                          LEASE_WRITE);
     }
     ck_assert_uint_eq(at_once, 1);
@@ -355,7 +356,7 @@
 START_TEST(failed_call_backs_off)
 {
     lease_t lease;
-    lease_init(&lease, "a/1", DURATION_MS);
+    lease_init(&lease, "a/1", LEASE_MS);
     lease_step_sent(&lease, LEASE_READ, 1000);
     lease_call_failed(&lease, 1010);
     ck_assert_int_eq(lease_next_step(&lease, 1700), LEASE_IDLE);
