--- a/soak/callers.c
+++ b/soak/callers.c
@@ -15,8 +15,9 @@
 #define DEADLINE_MS 4000
 /* A final answer may arrive this long after the route's timeout. */
 #define ANSWER_MARGIN_MS 500
-/* A removed key is rejected after this time by each relay that reaches the
- * store, or another relay that does. */
+/* A relay rejects a removed key at the latest this long after the removal,
+ * if it reaches the store or another relay that reaches the store.  The
+ * check allows 10 s. */
 #define KEY_REMOVAL_MS 2000
 /* At least this share of the requests in the recovery phase must succeed. */
 #define RECOVERY_SUCCESS_SHARE 0.95
@@ -56,7 +57,7 @@
     int64_t sent_ms;
     int64_t ended_ms;
     bool disturbed;        /* relay or servers had faults during the request */
-    unsigned disturbances; /* of relay and servers before it was sent */
+    unsigned disturbances; /* faults of relay and servers before it was sent */
     bool relay_stopping;   /* the relay was shutting down during the request */
     exchange_end_t end;
     int status;
@@ -187,8 +188,8 @@
 {
     int64_t ms =
         (int64_t)rng_below(&caller->callers->soak->rng, THINK_MS_MAX) + 1;
-    struct timeval after = {0, ms * 1000};
-    (void)event_add(caller->timer, &after);
+    struct timeval delay = {0, ms * 1000};
+    (void)event_add(caller->timer, &delay);
 }
 
 static void
@@ -280,9 +281,9 @@
         .head_len = head.len,
         .connect_ms = 1000,
         .total_ms = DEADLINE_MS + 2000};
-    exchange_hooks_t own = hooks;
-    own.arg = caller;
-    caller->exchange = exchange_start(soak->exchanges, &call, &own);
+    exchange_hooks_t caller_hooks = hooks;
+    caller_hooks.arg = caller;
+    caller->exchange = exchange_start(soak->exchanges, &call, &caller_hooks);
 }
 
 static void
@@ -310,7 +311,7 @@
     return callers;
 }
 
-/* Sends no new requests; those in flight end by themselves. */
+/* Sends no new requests; those in flight are not cancelled. */
 void
 callers_stop(callers_t *callers)
 {
@@ -447,8 +448,8 @@
         request->sent_ms > soak->old_key_removed_ms + 10000) {
         soak_report_violation(soak, "a removed key is rejected", "%s", id);
     }
-    /* A request that arrived while its connection was being closed was not
-     * forwarded, so only one that ran was cut off. */
+    /* Only a request that ran was cut off: one that arrived while its
+     * connection was being closed was not forwarded. */
     if (request->relay_stopping && !request->disturbed && request->runs > 0 &&
         (request->end == EXCHANGE_NO_ANSWER ||
          request->end == EXCHANGE_BROKEN)) {
--- a/tests/test-cache-save.c
+++ b/tests/test-cache-save.c
@@ -19,11 +19,11 @@
 typedef struct {
     double free_ms; /* time when the link becomes free */
     bool has[THREADS];
-    unsigned offered;
-    unsigned arrived;
+    unsigned saves_requested;
+    unsigned saves_completed;
     /* Of the evicted threads that were requested in the second half of the
      * run, the share fetched in time. */
-    double fetched;
+    double fetched_share;
 } store_t;
 
 static uint32_t
@@ -33,8 +33,8 @@
     return (uint32_t)(-log(u) * UNSHARED_TOKENS_MEAN);
 }
 
-/* Starts a transfer, which ends when the link is free; false if it is given
- * up. */
+/* Starts a transfer, which keeps the link busy until it ends.  Returns false
+ * if it would have to wait too long for the link. */
 static bool
 transfer(store_t *store, double now, double tokens)
 {
@@ -69,11 +69,11 @@
             .shared_tokens = THREAD_TOKENS,
             .unshared_tokens = random_unshared_tokens(&rng)};
         double cost = same_dc ? 1.0 : 2.0;
-        bool counts = now > RUN_MS / 2;
+        bool is_second_half = now > RUN_MS / 2;
         if (rng_below(&rng, 10) < EVICTED_OF_10) {
-            requested += counts;
+            requested += is_second_half;
             fetched +=
-                store.has[thread] && counts &&
+                store.has[thread] && is_second_half &&
                 transfer(&store, (double)now, params.shared_tokens * cost) &&
                 store.free_ms - (double)now < IN_TIME_MS;
         }
@@ -82,13 +82,13 @@
                                             &params, now))) {
             continue;
         }
-        store.offered++;
+        store.saves_requested++;
         store.has[thread] =
             transfer(&store, (double)now,
                      (params.shared_tokens + params.unshared_tokens) * cost);
-        store.arrived += store.has[thread];
+        store.saves_completed += store.has[thread];
     }
-    store.fetched = (double)fetched / requested;
+    store.fetched_share = (double)fetched / requested;
     return store;
 }
 
@@ -98,10 +98,10 @@
 {
     store_t all = simulate(false);
     store_t limited = simulate(true);
-    ck_assert_uint_eq(limited.arrived, limited.offered);
-    ck_assert_uint_lt(all.arrived, all.offered);
-    ck_assert_double_lt(all.fetched, 0.1);
-    ck_assert_double_gt(limited.fetched, 0.3);
+    ck_assert_uint_eq(limited.saves_completed, limited.saves_requested);
+    ck_assert_uint_lt(all.saves_completed, all.saves_requested);
+    ck_assert_double_lt(all.fetched_share, 0.1);
+    ck_assert_double_gt(limited.fetched_share, 0.3);
 }
 END_TEST
 
--- a/tests/test-cached-parts.c
+++ b/tests/test-cached-parts.c
@@ -72,9 +72,9 @@
 END_TEST
 
 /* Another host's requests evict parts too: it announces the tokens that they
- * brought in as a running total that wraps.  Its first announcement gives no
- * difference, and a restarted host counts from 0: the lower total must not
- * count as an increase of 4 billion. */
+ * added to the cache as a running total that wraps.  Its first announcement
+ * gives no difference, and a restarted host counts from 0: the lower total
+ * must not count as an increase of 4 billion. */
 START_TEST(requests_of_other_hosts_evict_too)
 {
     servers_t *servers = servers_new();
@@ -139,8 +139,8 @@
         rng_t rng = {.state = seed};
         engine_cache_t *engine = engine_cache_new(ENGINE_BLOCKS);
         cached_parts_t *parts = cached_parts_new();
-        uint32_t late = 0;
-        uint64_t own = 1000;
+        uint32_t unreported_tokens = 0;
+        uint64_t next_unshared_key = 1000;
         cached_parts_set_capacity(parts,
                                   (int64_t)ENGINE_BLOCKS * BLOCK_TOKENS);
         for (unsigned i = 0; i < 600; i++) {
@@ -151,12 +151,12 @@
                 estimated == engine_holds(engine, key, PART_BLOCKS) ? 1 : 0;
             total++;
             engine_store_part(engine, key, PART_BLOCKS);
-            engine_store_part(engine, own++, blocks);
+            engine_store_part(engine, next_unshared_key++, blocks);
             use(parts, key, PART_BLOCKS * BLOCK_TOKENS);
-            late += (uint32_t)blocks * BLOCK_TOKENS;
+            unreported_tokens += (uint32_t)blocks * BLOCK_TOKENS;
             if (rng_next(&rng) % 5 != 0) {
-                cached_parts_add_unshared(parts, late);
-                late = 0;
+                cached_parts_add_unshared(parts, unreported_tokens);
+                unreported_tokens = 0;
             }
         }
         cached_parts_free(parts);
@@ -171,14 +171,14 @@
 #define SERVERS 6u
 #define FAMILIES 60u
 #define FAMILY_BLOCKS 240u
-#define OWN_BLOCKS 180u
+#define UNSHARED_BLOCKS 180u
 #define SMALL_CACHE_BLOCKS 2400u
-#define PER_SECOND 20.0
+#define REQUESTS_PER_S 20.0
 #define REQUESTS 2400u
 #define PREFILL_TOKENS_PER_S 48000.0
 #define WAIT_MEAN_MS 40.0
 /* Estimate by age: a part counts as held for this time after its use. */
-#define AGE_S 6.0
+#define HELD_AGE_MAX_S 6.0
 
 typedef struct {
     engine_cache_t *engine;
@@ -213,7 +213,7 @@
 {
     switch (estimate) {
         case ESTIMATE_AGE:
-            return now - server->used_s[family] < AGE_S;
+            return now - server->used_s[family] < HELD_AGE_MAX_S;
         case ESTIMATE_USE:
             return cached_parts_has(server->parts, family);
         case ESTIMATE_EXACT:
@@ -231,18 +231,18 @@
     rng_t rng = {.state = seed};
     sim_server_t servers[SERVERS] = {0};
     double prefilled = 0;
-    uint64_t own = 1000;
+    uint64_t next_unshared_key = 1000;
     for (unsigned i = 0; i < SERVERS; i++) {
         servers[i].engine = engine_cache_new(SMALL_CACHE_BLOCKS);
         servers[i].parts = cached_parts_new();
         cached_parts_set_capacity(servers[i].parts,
                                   (int64_t)SMALL_CACHE_BLOCKS * BLOCK_TOKENS);
         for (unsigned f = 0; f < FAMILIES; f++) {
-            servers[i].used_s[f] = -AGE_S;
+            servers[i].used_s[f] = -HELD_AGE_MAX_S;
         }
     }
     for (unsigned n = 0; n < REQUESTS; n++) {
-        double now = n / PER_SECOND;
+        double now = n / REQUESTS_PER_S;
         uint64_t family = rng_next(&rng) % FAMILIES;
         candidate_t all[SERVERS] = {0};
         prefix_t shared = {.tokens = FAMILY_BLOCKS * BLOCK_TOKENS};
@@ -264,9 +264,11 @@
         prefilled += (double)(FAMILY_BLOCKS - leading_blocks(server, family)) *
                      BLOCK_TOKENS;
         engine_store_part(server->engine, family, FAMILY_BLOCKS);
-        engine_store_part(server->engine, own++, OWN_BLOCKS);
+        engine_store_part(server->engine, next_unshared_key++,
+                          UNSHARED_BLOCKS);
         use(server->parts, family, FAMILY_BLOCKS * BLOCK_TOKENS);
-        cached_parts_add_unshared(server->parts, OWN_BLOCKS * BLOCK_TOKENS);
+        cached_parts_add_unshared(server->parts,
+                                  UNSHARED_BLOCKS * BLOCK_TOKENS);
         server->used_s[family] = now;
     }
     for (unsigned i = 0; i < SERVERS; i++) {
--- a/tests/test-place-fleet.c
+++ b/tests/test-place-fleet.c
@@ -29,7 +29,7 @@
     double wait_ms;     /* for prompts queued ahead of it */
     double expected_ms; /* from its arrival until it is prefilled */
     int64_t received_ms;
-    double done_ms; /* its prompt is prefilled */
+    double prefilled_ms; /* end of the prefill of its prompt */
     bool finished;
 } placed_t;
 
@@ -145,7 +145,7 @@
         .wait_ms = begin - (double)now,
         .expected_ms = request.expected_wait_ms + request.expected_prefill_ms,
         .received_ms = now,
-        .done_ms = fleet->free_ms[engine]};
+        .prefilled_ms = fleet->free_ms[engine]};
 }
 
 static void
@@ -153,13 +153,13 @@
 {
     for (size_t i = 0; i < fleet->count; i++) {
         placed_t *placed = &fleet->placed[i];
-        if (!placed->finished && placed->done_ms <= (double)now) {
+        if (!placed->finished && placed->prefilled_ms <= (double)now) {
             server_t *server = fleet->servers[placed->host][placed->engine];
             server_subtract_prefill(server, placed->tokens);
             server_remove_request(server);
-            forecast_update(&fleet->hosts[placed->host]->forecast,
-                            placed->expected_ms,
-                            placed->done_ms - (double)placed->received_ms);
+            forecast_update(
+                &fleet->hosts[placed->host]->forecast, placed->expected_ms,
+                placed->prefilled_ms - (double)placed->received_ms);
             placed->finished = true;
         }
     }
@@ -218,7 +218,7 @@
     size_t count = 0;
     for (size_t i = 0; i < fleet->count; i++) {
         const placed_t *placed = &fleet->placed[i];
-        if (placed->done_ms > (double)fleet->warm_ms) {
+        if (placed->prefilled_ms > (double)fleet->warm_ms) {
             waits[count++] = placed->wait_ms;
         }
     }
--- a/tests/test-retry-share.c
+++ b/tests/test-retry-share.c
@@ -42,8 +42,9 @@
                 request_sum -= requests[ms - WINDOW_MS];
                 retry_sum -= retries[ms - WINDOW_MS];
             }
-            /* Budget from requests in the slice that has just left the window
-             * may still be spent: one slice of 20. */
+            /* Budget from requests in the slice that has just left the
+             * window may still be spent.  A slice of 500 ms has fewer than
+             * 100 requests. */
             ck_assert_double_le(retry_sum,
                                 RATIO * request_sum + SLACK + 0.2 * 100);
         }
@@ -56,10 +57,10 @@
 static int
 max_requests(const int *sums, int ms)
 {
-    static const int back[] = {0, WINDOW_MS / 2, WINDOW_MS};
+    static const int offsets_ms[] = {0, WINDOW_MS / 2, WINDOW_MS};
     int highest = 0;
-    for (size_t i = 0; i < sizeof(back) / sizeof(back[0]); i++) {
-        int end = ms - back[i];
+    for (size_t i = 0; i < sizeof(offsets_ms) / sizeof(offsets_ms[0]); i++) {
+        int end = ms - offsets_ms[i];
         int begin = end - WINDOW_MS;
         int sum = (end >= 0 ? sums[end + 1] : 0) -
                   (begin >= 0 ? sums[begin + 1] : 0);
