--- a/daemons/celeryspoolctl.c
+++ b/daemons/celeryspoolctl.c
@@ -274,13 +274,13 @@
 static char *
 complete_word(const char *text, int state)
 {
-    static size_t at;
-    at = state == 0 ? 0 : at;
-    for (; at < json_array_size(completion_rows); at++) {
+    static size_t next_row;
+    next_row = state == 0 ? 0 : next_row;
+    for (; next_row < json_array_size(completion_rows); next_row++) {
         const char *name =
-            json_get_string(json_array_get(completion_rows, at), "name");
+            json_get_string(json_array_get(completion_rows, next_row), "name");
         if (name != NULL && strncmp(name, text, strlen(text)) == 0) {
-            at++;
+            next_row++;
             return strdup(name);
         }
     }
--- a/fakes/engine-batch.c
+++ b/fakes/engine-batch.c
@@ -231,8 +231,8 @@
     http_req_reply_json(seq->req, 200, body);
 }
 
-/* Completes the answer for the attached client, unless the sequence is
- * stalled: then the client must see no end either. */
+/* Completes the answer for the attached client.  A stalled sequence is left
+ * open: its client must not see the end of the answer. */
 void
 engine_finish_response(engine_t *engine, seq_t *seq)
 {
--- a/fakes/engine-http.c
+++ b/fakes/engine-http.c
@@ -53,8 +53,9 @@
     seq_t *seq =
         engine_find(engine, http_req_path(req) + strlen(STREAMS_PATH));
     const char *offset = http_req_query(req, "offset");
-    uint32_t from = offset == NULL ? 0 : (uint32_t)strtoul(offset, NULL, 10);
-    if (seq == NULL || from > seq->emitted) {
+    uint32_t first_token =
+        offset == NULL ? 0 : (uint32_t)strtoul(offset, NULL, 10);
+    if (seq == NULL || first_token > seq->emitted) {
         http_req_reply_error(req, 404, "no_stream", "no such stream");
         return;
     }
@@ -74,7 +75,7 @@
     seq->stalled = false;
     seq->stream = true;
     http_req_stream(req, 200, "text/event-stream");
-    engine_emit_tokens(engine, seq, from, seq->emitted);
+    engine_emit_tokens(engine, seq, first_token, seq->emitted);
     if (seq->done) {
         engine_finish_response(engine, seq);
     }
@@ -103,10 +104,10 @@
 handle_events(engine_t *engine, http_req_t *req)
 {
     const char *after = http_req_query(req, "after");
-    uint64_t from = after == NULL ? 0 : strtoull(after, NULL, 10);
+    uint64_t after_event = after == NULL ? 0 : strtoull(after, NULL, 10);
     CLEAN_JSON json_t *body =
         json_pack("{s:s,s:o}", "incarnation", engine->incarnation, "events",
-                  engine_cache_list_events(engine->cache, from,
+                  engine_cache_list_events(engine->cache, after_event,
                                            engine->settings.event_drop_percent,
                                            &engine->rng));
     http_req_reply_json(req, 200, body);
--- a/fakes/load-blocks.c
+++ b/fakes/load-blocks.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 /* Counts the prompt blocks that occur for the first time: the prefill that no
- * placement could have avoided.  All tokens that the engines prefill beyond
- * that were computed before, so the difference is an upper bound of the wasted
+ * placement could have avoided.  Any further token that the engines prefill
+ * has been prefilled before, so the difference is an upper bound of the wasted
  * recomputation. */
 
 #define TABLE_SIZE_INITIAL (1 << 16)
--- a/fakes/load-client.c
+++ b/fakes/load-client.c
@@ -11,7 +11,7 @@
 #define HTTP_THREADS 2
 #define SLOW_REFUSAL_MS 3000
 #define EVENT_ID_MAX 640
-#define CONNECT_MS 2000
+#define CONNECT_TIMEOUT_MS 2000
 
 struct load_client {
     load_opts_t opts;
@@ -340,7 +340,7 @@
                         .url = url,
                         .body = request->body,
                         .body_len = strlen(request->body),
-                        .connect_ms = CONNECT_MS,
+                        .connect_ms = CONNECT_TIMEOUT_MS,
                         .total_ms = (int)opts->deadline_ms + 5000,
                         .on_header = on_header,
                         .on_data = on_data,
--- a/fakes/load.h
+++ b/fakes/load.h
@@ -16,7 +16,7 @@
     unsigned target_count;
     char engines[LOAD_TARGETS_MAX][CS_ADDR_MAX]; /* to read /truth from */
     unsigned engine_count;
-    double warmup_s; /* start of the total and per-workspace figures */
+    double warmup_s; /* totals exclude requests started before */
     char model[CS_NAME_MAX];
     char service[CS_NAME_MAX];
     char versions[LOAD_VERSIONS_MAX][CS_NAME_MAX];
@@ -40,7 +40,7 @@
     double keyed_rate;     /* idempotent service calls per second */
     unsigned key_attempts; /* calls with each key, at successive targets */
     bool bypass_router;    /* the targets are engines */
-    bool unstreamed;       /* ask for one complete JSON answer */
+    bool unstreamed;       /* request complete JSON answers */
     unsigned deadline_ms;
     unsigned resumes_max;
     char history[256];
@@ -91,7 +91,7 @@
 load_blocks_t *load_blocks_new(void);
 void load_blocks_free(load_blocks_t *blocks);
 void load_blocks_add(load_blocks_t *blocks, unsigned workspace,
-                     const json_t *messages, bool count);
+                     const json_t *messages, bool counted);
 json_t *load_blocks_json(const load_blocks_t *blocks);
 json_t *load_blocks_engines_json(const load_opts_t *opts);
 
--- a/fakes/platform-server.c
+++ b/fakes/platform-server.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define HEARTBEAT_MS 300
-#define REQUEST_MS 15
+#define EXECUTION_MS 15
 #define WEIGHTS_LOAD_MS 300
 #define SLOTS 8
 #define MODEL "m1"
@@ -274,7 +274,7 @@
         begin_stream(run);
         return;
     }
-    run_later(server->store->base, REQUEST_MS, on_work_done, run);
+    run_later(server->store->base, EXECUTION_MS, on_work_done, run);
 }
 
 /* ---- reports and orders ---- */
--- a/kernel/claim-log.c
+++ b/kernel/claim-log.c
@@ -22,7 +22,7 @@
 
 static void slot_advance(shard_slot_t *slot);
 
-/* Creates a log of so many shards; all hosts must use the same number. */
+/* Creates a log; all hosts must use the same number of shards. */
 claim_log_t *
 claim_log_new(store_t *store, unsigned shards)
 {
--- a/kernel/claim-shard.c
+++ b/kernel/claim-shard.c
@@ -25,7 +25,7 @@
     phase_t phase;
     bool head_known;
     int64_t version;     /* of the head */
-    uint64_t head_reads; /* successful ones, counted */
+    uint64_t head_reads; /* number of successful reads */
     json_t *head;
     json_t *pending_head; /* the head that the current put writes */
     json_t *claims;       /* key -> its entry, from the chunks and the head */
@@ -149,8 +149,8 @@
     op->body = body == NULL ? NULL : strdup(body);
 }
 
-/* The state of a claim by the log: PENDING if it has to be written, or if the
- * head has to be read again first. */
+/* The state of a claim according to the log; CLAIM_PENDING if the claim has to
+ * be written, or if the head has to be read again first. */
 static claim_state_t
 resolve_claim(const claim_shard_t *shard, claim_op_t *op, bool *needs_read)
 {
@@ -184,8 +184,8 @@
     if (is_own && !json_string_equals(current, "s", "claim")) {
         return CLAIM_RECORDED;
     }
-    /* If the claim is not in the log, the entry that it did not run is still
-     * written once, because that write fences a lost write of the claim. */
+    /* If the claim is not in the log, a "not_run" entry is still written
+     * once, because that write fences a lost write of the claim. */
     if (!is_own && !op->may_be_written) {
         return CLAIM_RECORDED;
     }
@@ -209,9 +209,10 @@
 }
 
 /* Completes the operations that the log already decides; sets needs_read if
- * the head has to be read again, and due if an operation can be written. */
+ * the head has to be read again, and has_due if one is due to be written. */
 static void
-resolve_all(claim_shard_t *shard, int64_t now_ms, bool *needs_read, bool *due)
+resolve_all(claim_shard_t *shard, int64_t now_ms, bool *needs_read,
+            bool *has_due)
 {
     claim_op_t *op;
     claim_op_t *next;
@@ -221,15 +222,15 @@
             complete_op(shard, op, state);
         }
         else if (op->not_before_ms <= now_ms) {
-            *due = true;
+            *has_due = true;
         }
     }
 }
 
 static bool
-contains_key(const json_t *entries, size_t from, const char *key)
+contains_key(const json_t *entries, size_t first, const char *key)
 {
-    for (size_t i = from; i < json_array_size(entries); i++) {
+    for (size_t i = first; i < json_array_size(entries); i++) {
         if (json_string_equals(json_array_get(entries, i), "k", key)) {
             return true;
         }
@@ -237,17 +238,17 @@
     return false;
 }
 
-/* The head with all pending operations appended.  Of several on one key only
- * the first is appended; the others are resolved after the write. */
+/* The head with the pending operations appended.  Of several with the same key
+ * only the first is appended; the others are resolved after the write. */
 static json_t *
 append_pending(claim_shard_t *shard, int64_t wall_ms)
 {
     json_t *head = json_deep_copy(shard->head);
     json_t *entries = json_object_get(head, "entries");
-    size_t from = json_array_size(entries);
+    size_t old_count = json_array_size(entries);
     claim_op_t *op;
     CK_STAILQ_FOREACH (op, &shard->pending, entry) {
-        if (!contains_key(entries, from, op->key)) {
+        if (!contains_key(entries, old_count, op->key)) {
             (void)json_array_append_new(entries, make_entry(op, wall_ms));
         }
     }
@@ -321,7 +322,8 @@
     return action;
 }
 
-/* From now on a write of these operations may take effect. */
+/* Called before a put of the head: from then on a pending operation may be in
+ * the log although the answer to the put is lost. */
 static void
 mark_may_be_written(claim_shard_t *shard)
 {
@@ -350,7 +352,7 @@
 }
 
 /* Ends the operations past their deadline.  For a claim that may have been
- * written, an entry that it did not run is submitted, because it will never be
+ * written, a "not_run" entry is submitted, because its call will never be
  * sent. */
 static void
 expire_ops(claim_shard_t *shard, int64_t now_ms)
@@ -384,14 +386,14 @@
     return false;
 }
 
-/* The next call to the store; NONE while an answer is awaited or nothing is
- * due.  now_ms is monotonic, wall_ms goes into the log. */
+/* The next call to the store; CLAIM_ACTION_NONE while an answer is awaited or
+ * nothing is due.  now_ms is monotonic; wall_ms is stored in the entries. */
 claim_action_t
 claim_shard_next_action(claim_shard_t *shard, int64_t now_ms, int64_t wall_ms)
 {
     claim_action_t none = {.kind = CLAIM_ACTION_NONE};
     bool needs_read = false;
-    bool due = false;
+    bool has_due = false;
     if (shard->phase != PHASE_IDLE) {
         return none;
     }
@@ -403,12 +405,12 @@
     if (missing != NULL) {
         return begin_get(shard, PHASE_READ_CHUNK, missing);
     }
-    resolve_all(shard, now_ms, &needs_read, &due);
+    resolve_all(shard, now_ms, &needs_read, &has_due);
     expire_ops(shard, now_ms);
     if (needs_read && !CK_STAILQ_EMPTY(&shard->pending)) {
         return begin_head_read(shard);
     }
-    if (!due || CK_STAILQ_EMPTY(&shard->pending)) {
+    if (!has_due || CK_STAILQ_EMPTY(&shard->pending)) {
         return none;
     }
     if (!shard->head_sealed &&
--- a/kernel/claim.h
+++ b/kernel/claim.h
@@ -12,7 +12,7 @@
 #include <ck_queue.h>
 
 #define CLAIM_KEY_LEN 32
-#define CLAIM_CHUNK_ENTRIES 256 /* a head with so many is sealed */
+#define CLAIM_CHUNK_ENTRIES 256 /* a head with this many is sealed */
 #define CLAIM_BODY_MAX 1024     /* bytes of a response kept for repeats */
 #define CLAIM_RETENTION_MS (24LL * 3600 * 1000)
 #define CLAIM_RECORD_DELAY_MS 50 /* so that outcomes share one write */
@@ -40,7 +40,7 @@
     char token[CS_ID_LEN + 1];
     int status; /* of the response; input of CLAIM_OP_DONE, result of a claim
                    that ends as CLAIM_DONE */
-    char *body; /* of the same response; NULL if not kept; owned */
+    char *body; /* of the response; NULL if not kept; owned */
     int64_t deadline_ms;
     int64_t not_before_ms; /* earliest write, so that operations share one */
     uint64_t head_reads_at_submit; /* how often the shard had read its head */
--- a/kernel/command-query.c
+++ b/kernel/command-query.c
@@ -180,13 +180,14 @@
     return 0;
 }
 
-/* Apply the clauses that start at a word to the rows, which become the result.
- * On failure the rows are freed. */
+/* Apply the clauses from index first_word on to the rows, which become the
+ * result.  On failure the rows are freed. */
 int
-command_query_apply(command_context_t *context, size_t from, json_t **rows)
+command_query_apply(command_context_t *context, size_t first_word,
+                    json_t **rows)
 {
     bool where = false;
-    for (size_t i = from; i < context->word_count; i++) {
+    for (size_t i = first_word; i < context->word_count; i++) {
         const char *word = context->words[i];
         int failed;
         if (strcmp(word, "where") == 0) {
--- a/kernel/command.c
+++ b/kernel/command.c
@@ -41,7 +41,7 @@
     return NULL;
 }
 
-/* The command that follows, or the first one for NULL. */
+/* The command after the given one, or the first command if that is NULL. */
 const command_t *
 command_next(const command_t *command)
 {
@@ -167,13 +167,13 @@
         is_text ? json_string(separator + 1) : parse_value(separator + 1));
 }
 
-/* Parse the words from one on as FIELD=VALUE.  Returns NULL with an error on
- * failure. */
+/* Parse the words from index first_word on as FIELD=VALUE.  Returns NULL with
+ * an error on failure. */
 json_t *
-command_fields(command_context_t *context, size_t from)
+command_fields(command_context_t *context, size_t first_word)
 {
     json_t *fields = json_object();
-    for (size_t i = from; i < context->word_count; i++) {
+    for (size_t i = first_word; i < context->word_count; i++) {
         if (add_field(context, fields, i) != 0) {
             json_decref(fields);
             return NULL;
--- a/kernel/command.h
+++ b/kernel/command.h
@@ -37,10 +37,10 @@
                 int *status);
 int command_error(command_context_t *context, size_t word, const char *fmt,
                   ...) __attribute__((format(printf, 3, 4)));
-json_t *command_fields(command_context_t *context, size_t from);
+json_t *command_fields(command_context_t *context, size_t first_word);
 int command_commit(command_context_t *context, const change_t *change);
 size_t command_split(char *line, char **words, size_t max, err_t *err);
-int command_query_apply(command_context_t *context, size_t from,
+int command_query_apply(command_context_t *context, size_t first_word,
                         json_t **rows);
 
 #endif
--- a/kernel/config-change.c
+++ b/kernel/config-change.c
@@ -81,14 +81,15 @@
 config_change_record(json_t *doc, const char *id, const char *operator_name,
                      const char *description)
 {
-    int64_t from = json_get_int(doc, "generation", 0);
+    int64_t generation = json_get_int(doc, "generation", 0);
     json_t *changes = json_object_get(doc, "changes");
-    (void)json_object_set_new(doc, "generation", json_integer(from + 1));
+    (void)json_object_set_new(doc, "generation", json_integer(generation + 1));
     (void)json_array_append_new(
-        changes, json_pack("{s:s,s:s,s:s,s:I,s:I,s:I}", "id", id, "who",
-                           operator_name, "what", description, "from",
-                           (json_int_t)from, "to", (json_int_t)(from + 1),
-                           "at_ms", (json_int_t)time_wall_ms()));
+        changes,
+        json_pack("{s:s,s:s,s:s,s:I,s:I,s:I}", "id", id, "who", operator_name,
+                  "what", description, "from", (json_int_t)generation, "to",
+                  (json_int_t)(generation + 1), "at_ms",
+                  (json_int_t)time_wall_ms()));
     while (json_array_size(changes) > CONFIG_CHANGES_MAX) {
         (void)json_array_remove(changes, 0);
     }
--- a/kernel/config.h
+++ b/kernel/config.h
@@ -48,7 +48,7 @@
     int duration_max_s;
 } service_t;
 
-/* What a maintenance window takes out of service. */
+/* The kind of target that a maintenance window takes out of service. */
 typedef enum { WINDOW_BACKEND, WINDOW_DC, WINDOW_HOST } window_kind_t;
 
 typedef struct {
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -88,7 +88,7 @@
 }
 
 /* Fetch the configuration from a peer that has a newer one, so that changes
- * are disseminated also while the store is down. */
+ * reach this daemon even while the store is down. */
 static void
 pull_config(void *arg)
 {
@@ -155,10 +155,11 @@
     return __atomic_load_n(&daemon->stop_requested, __ATOMIC_ACQUIRE);
 }
 
-/* Drain for a maintenance window of this host or its data centre: from the
- * maximum request duration before the window, so that no request runs when it
- * begins, until it ends.  A shutdown is not undone, even if it is requested
- * between the check and the change of state; hence the second check. */
+/* Drain for a maintenance window of this host or its data centre.  Draining
+ * starts one maximum request duration before the window, so that no request
+ * runs when it begins, and lasts until the window ends.  A shutdown is not
+ * undone, even if it is requested between the check and the change of state;
+ * hence the second check. */
 static void
 drain_for_window(celeryspoold_t *daemon)
 {
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -13,8 +13,8 @@
 
 /* Bytes of records buffered for the reader. */
 #define PENDING_BYTES_MAX (256 * 1024)
-/* Bytes of records per second: 20 requests a second write about 8 KB.  In a
- * burst info and debug records are dropped first. */
+/* Bytes of records per second.  20 requests a second write about 8 KB.  In a
+ * burst, info and debug records are dropped first. */
 #define BYTES_PER_S_MAX (96 * 1024)
 /* The part of BYTES_PER_S_MAX that is reserved for warnings and errors. */
 #define RESERVED_BYTES_PER_S (32 * 1024)
@@ -28,7 +28,7 @@
 static buf_t log_pending;
 static int64_t log_rate_second;
 static size_t log_rate_bytes;
-static uint64_t log_dropped; /* since the number was last reported */
+static uint64_t log_dropped; /* since the last "left-out" record */
 static uint64_t log_dropped_since_start;
 
 /* Set the process name and the least severe level that is written. */
--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -59,8 +59,8 @@
     return message;
 }
 
-/* Tells the recipient first if it is suspected or declared dead, because only
- * it can refute that (Dadgar, Phillips, Currey: Lifeguard). */
+/* Puts the record of a suspected or dead recipient first, because only the
+ * recipient can refute it (Dadgar, Phillips, Currey: Lifeguard). */
 static void
 add_suspicion(member_message_t *message, const member_node_t *node)
 {
--- a/kernel/members-round.c
+++ b/kernel/members-round.c
@@ -162,14 +162,14 @@
 static void
 ping_random_seed(members_t *members, member_outbox_t *out)
 {
-    uint64_t at = rng_below(&members->rng, members->seed_count);
-    members_add_ping_to(members, out, members->seeds[at], NULL,
+    uint64_t index = rng_below(&members->rng, members->seed_count);
+    members_add_ping_to(members, out, members->seeds[index], NULL,
                         ++members->last_sequence);
 }
 
-/* After all daemons have restarted none of them knows another, and with one
- * ping a round it would take a minute until all do.  So a daemon pings a few
- * seeds each tick while it knows fewer members than three quarters of its
+/* After a restart of all daemons none knows another, and with one ping a round
+ * it would take a minute until each knows all the others.  So a daemon pings a
+ * few seeds each tick while it knows fewer members than three quarters of its
  * seeds. */
 static void
 ping_seeds_for_discovery(members_t *members, member_outbox_t *out)
--- a/kernel/members-table.h
+++ b/kernel/members-table.h
@@ -6,7 +6,7 @@
 #include "tables.h"
 
 #define TICK_MS 250     /* two ticks make a round */
-#define GOSSIP_FACTOR 3 /* times the logarithm of the member count */
+#define GOSSIP_FACTOR 3 /* messages per record, times log2(members) */
 #define RELAYED_PINGS_MAX 32
 #define SEEDS_MAX 512 /* further members are found by gossip */
 
@@ -15,7 +15,7 @@
     member_t member;
     int64_t incarnation_received_ms; /* first record of this incarnation */
     unsigned gossip_left; /* messages that will still carry this record */
-    uint64_t probe_order; /* random, position in the current probe cycle */
+    uint64_t probe_order; /* random position in the current probe cycle */
     int verify_count;     /* verification pings sent to this suspect */
 } member_node_t;
 
@@ -31,7 +31,7 @@
 struct members {
     pthread_mutex_t lock;
     member_t self;
-    unsigned self_gossip_left; /* not read: every message carries self */
+    unsigned self_gossip_left; /* set, but unused: every message has self */
     member_list_t list;
     size_t count;
     rng_t rng;
--- a/kernel/members.c
+++ b/kernel/members.c
@@ -6,7 +6,7 @@
 
 /* Membership by the SWIM protocol (Das, Gupta, Motivala).  Each round a daemon
  * pings one other member.  Without an ACK it requests indirect pings from a
- * few others; without an ACK to these either, the member becomes a suspect,
+ * few others; without an ACK to those too, the member becomes a suspect,
  * and dead unless it refutes the suspicion within the timeout.  Records are
  * gossiped on the pings, each a bounded number of times, so the traffic of a
  * daemon does not grow with the fleet. */
@@ -65,7 +65,8 @@
     return NULL;
 }
 
-/* How often a record is gossiped: grows with the logarithm of the fleet. */
+/* How many messages carry a record: grows with the logarithm of the member
+ * count. */
 unsigned
 members_gossip_limit(const members_t *members)
 {
@@ -142,16 +143,18 @@
              size_t max)
 {
     uint64_t weight = place_rendezvous_weight(key, member->name);
-    size_t at = count;
-    while (at > 0 && place_rendezvous_weight(key, out[at - 1].name) < weight) {
-        at--;
+    size_t position = count;
+    while (position > 0 &&
+           place_rendezvous_weight(key, out[position - 1].name) < weight) {
+        position--;
     }
-    if (at == max) {
+    if (position == max) {
         return count;
     }
     size_t last = count < max ? count : max - 1;
-    memmove(&out[at + 1], &out[at], (last - at) * sizeof(*out));
-    out[at] = *member;
+    memmove(&out[position + 1], &out[position],
+            (last - position) * sizeof(*out));
+    out[position] = *member;
     return last + 1;
 }
 
--- a/kernel/metrics.c
+++ b/kernel/metrics.c
@@ -115,22 +115,22 @@
 }
 
 void
-series_observe(series_t *series, metric_histogram_t which, int64_t us)
+series_observe(series_t *series, metric_histogram_t metric, int64_t us)
 {
-    histogram_add(&series->histograms[which], us);
+    histogram_add(&series->histograms[metric], us);
 }
 
 void
-series_increment(series_t *series, metric_counter_t which, uint64_t increment)
+series_increment(series_t *series, metric_counter_t metric, uint64_t increment)
 {
-    ck_pr_add_64(&series->counters[which], increment);
+    ck_pr_add_64(&series->counters[metric], increment);
 }
 
 static void
-write_histogram(buf_t *out, const series_t *series, metric_histogram_t which)
+write_histogram(buf_t *out, const series_t *series, metric_histogram_t metric)
 {
-    const histogram_t *histogram = &series->histograms[which];
-    const char *name = histogram_names[which];
+    const histogram_t *histogram = &series->histograms[metric];
+    const char *name = histogram_names[metric];
     uint64_t sum = 0;
     double bound_us = BUCKET_UNIT_US;
     for (unsigned i = 0; i < HISTOGRAM_BUCKETS; i++) {
--- a/kernel/metrics.h
+++ b/kernel/metrics.h
@@ -45,8 +45,8 @@
 void metrics_free(metrics_t *metrics);
 series_t *metrics_get_series(metrics_t *metrics, const char *workspace,
                              const char *target);
-void series_observe(series_t *series, metric_histogram_t which, int64_t us);
-void series_increment(series_t *series, metric_counter_t which,
+void series_observe(series_t *series, metric_histogram_t metric, int64_t us);
+void series_increment(series_t *series, metric_counter_t metric,
                       uint64_t increment);
 void metrics_write(metrics_t *metrics, buf_t *out);
 void metrics_write_gauge(buf_t *out, const char *name, double value);
--- a/kernel/settings.h
+++ b/kernel/settings.h
@@ -50,7 +50,8 @@
     int store_timeout_ms;
 } settings_t;
 
-/* Both report every problem of a file, one per line: "file:line: problem". */
+/* Both functions report every problem of a file, one per line:
+ * "file:line: problem". */
 int settings_read(settings_t *settings, const char *path, buf_t *problems);
 int settings_parse(settings_t *settings, const char *name, const char *text,
                    buf_t *problems);
