--- a/fakes/fake-check.c
+++ b/fakes/fake-check.c
@@ -6,7 +6,7 @@
 /* Checks event logs and reports:
  *   get FILE a.b.c               print a value of a JSON file
  *   keys REPORT EFFECTS          idempotent calls against a service's effects
- *   not-run EVENTS… -- TRUTHS…   refusals against the engines' executions
+ *   not-run EVENTS… -- TRUTHS…   calls ended as not run against executions
  *   generations EVENTS…          generations only grow in each process
  *   last-sent BACKEND EVENTS…    wall-clock ms of the last attempt sent to it
  */
--- a/fakes/fake-store.c
+++ b/fakes/fake-store.c
@@ -291,8 +291,9 @@
         free(watcher);
     }
     delayed_request_t *delayed;
-    delayed_request_t *after;
-    CK_LIST_FOREACH_SAFE (delayed, &store->delayed_requests, entry, after) {
+    delayed_request_t *next_delayed;
+    CK_LIST_FOREACH_SAFE (delayed, &store->delayed_requests, entry,
+                          next_delayed) {
         if (now < delayed->due_ms && !fake_store_stop) {
             continue;
         }
--- a/fakes/load.h
+++ b/fakes/load.h
@@ -82,7 +82,7 @@
     double total_ms;
     unsigned resumes;
     load_outcome_t outcome;
-    bool slow_refusal; /* refused without Retry-After or too slowly */
+    bool slow_refusal; /* refused, but after too long a wait */
 } load_result_t;
 
 /* The set of prompt blocks sent so far. */
--- a/kernel/claim-shard.c
+++ b/kernel/claim-shard.c
@@ -107,7 +107,7 @@
     CK_STAILQ_INSERT_TAIL(&shard->completed, op, entry);
 }
 
-/* Applies the chunks in the order in which the head names them, then the
+/* Applies the chunks in the order in which the head lists them, then the
  * head's own entries. */
 static void
 rebuild_claims(claim_shard_t *shard)
--- a/kernel/config-sync.c
+++ b/kernel/config-sync.c
@@ -234,9 +234,10 @@
 }
 
 /* Commit a change to the store and report its outcome: accepted, with its
- * generation; rejected, on a conflict with the current generation and the
- * changes since; or unknown, when the answer to a write was lost and the store
- * could not be read again.  Blocks. */
+ * generation; rejected as a conflict, with the current generation and the
+ * changes since if_generation; failed without effect; or unknown, when the
+ * answer to a write was lost and the store could not be read again.  Blocks.
+ */
 int
 config_sync_commit(celeryspoold_t *daemon, const change_t *change,
                    const char *operator_name, const char *description,
--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -62,9 +62,9 @@
     daemon->pool = pool_new(POOL_THREADS);
 }
 
-/* Check the chat calls for silent backend servers and for retries that are
- * due.  A reference to each call is held meanwhile, so that no call's lock is
- * taken under the lock of the list. */
+/* Run the tick of each chat call, which probes a silent stream or starts a
+ * failover that is due.  A reference to each call is held meanwhile, so that
+ * no call's lock is taken under the lock of the list. */
 static void
 check_chat_calls(celeryspoold_t *daemon)
 {
--- a/kernel/event.c
+++ b/kernel/event.c
@@ -82,7 +82,7 @@
 }
 
 /* The most recent events, oldest first, of one request and one backend server;
- * NULL or an empty string matches all. */
+ * for either, NULL or an empty string matches every event. */
 json_t *
 event_list_recent(const char *request, const char *backend, size_t max)
 {
--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -231,8 +231,8 @@
 }
 
 /* Whether a sender gets all records: it is new to this table, or has been for
- * a short time and pings.  Once is not enough: while a whole fleet starts, the
- * first answer can list only a few members. */
+ * a short time and pings.  One full sync is not enough: while a whole fleet
+ * starts, the first one can list only a few members. */
 static bool
 needs_full_sync(members_t *members, const member_message_t *message,
                 bool is_new, int64_t now_ms)
--- a/kernel/members-round.c
+++ b/kernel/members-round.c
@@ -69,14 +69,14 @@
     }
 }
 
-/* A cycle pings every member that is not dead once, in a new random order, so
- * that the time until a stopped member is pinged is bounded. */
+/* In each cycle every member that is not dead is pinged once, in a new random
+ * order, so that the time until a stopped member is pinged is bounded. */
 static member_node_t *
 next_probe_target(members_t *members)
 {
     member_node_t *best = NULL;
     member_node_t *node;
-    for (int again = 0; again < 2 && best == NULL; again++) {
+    for (int pass = 0; pass < 2 && best == NULL; pass++) {
         CK_LIST_FOREACH (node, &members->list, entry) {
             if (node->member.health != MEMBER_DEAD &&
                 node->probe_order > members->last_probe_order &&
--- a/kernel/peer-codec.h
+++ b/kernel/peer-codec.h
@@ -38,8 +38,8 @@
 typedef struct {
     uint64_t workspace_hash; /* of its name */
     uint32_t total_spent;    /* since the sender started, wraps */
-    uint32_t
-        recent_spent; /* since the last announcement; negative values wrap */
+    uint32_t recent_spent;   /* since the last announcement; modulo 2^32 if
+                                negative */
 } peer_usage_t;
 
 /* The load that the sender puts on a server. */
--- a/kernel/peer.c
+++ b/kernel/peer.c
@@ -11,9 +11,8 @@
 
 /* Communication between daemons: UDP datagrams for membership and for facts
  * (load reports and cache changes of backend servers), and framed requests and
- * replies over TCP for larger documents.  A frame is four
- * bytes of length, most significant first, and a msgpack array [kind, text].
- */
+ * replies over TCP for larger documents.  A frame is four bytes of length,
+ * most significant first, and a msgpack array [kind, text]. */
 
 #define FRAME_MAX (4 << 20)
 #define IO_TIMEOUT_MS 1000
@@ -26,7 +25,8 @@
     bool stop;
     pthread_t receive_thread;
     pthread_t accept_thread;
-    pthread_mutex_t lock; /* guards pending_facts; a leaf lock */
+    /* Guards pending_facts; no other lock is taken while it is held. */
+    pthread_mutex_t lock;
     peer_datagram_t pending_facts;
     int64_t next_tick_ms;
     uint64_t bytes_sent;
@@ -405,7 +405,7 @@
     add_fact(peer, &fact);
 }
 
-/* Queues a cache change: a server now holds a level, or no longer does. */
+/* Queues a cache change: a server has cached an entry or evicted it. */
 void
 peer_announce_cached(peer_t *peer, const char *backend, uint64_t key,
                      uint32_t tokens, bool held)
