--- a/kernel/daemon.c
+++ b/kernel/daemon.c
@@ -62,9 +62,9 @@
     daemon->pool = pool_new(POOL_THREADS);
 }
 
-/* Check the chat calls for silent backend servers and for retries that are
- * due.  A reference to each call is held meanwhile, so that no call's lock is
- * taken under the lock of the list. */
+/* Run the tick of each chat call, which probes a silent stream or starts a
+ * failover that is due.  A reference to each call is held meanwhile, so that
+ * no call's lock is taken under the lock of the list. */
 static void
 check_chat_calls(celeryspoold_t *daemon)
 {
@@ -88,7 +88,7 @@
 }
 
 /* Fetch the configuration from a peer that has a newer one, so that changes
- * are disseminated also while the store is down. */
+ * reach this daemon even while the store is down. */
 static void
 pull_config(void *arg)
 {
@@ -155,10 +155,11 @@
     return __atomic_load_n(&daemon->stop_requested, __ATOMIC_ACQUIRE);
 }
 
-/* Drain for a maintenance window of this host or its data centre: from the
- * maximum request duration before the window, so that no request runs when it
- * begins, until it ends.  A shutdown is not undone, even if it is requested
- * between the check and the change of state; hence the second check. */
+/* Drain for a maintenance window of this host or its data centre.  Draining
+ * starts one maximum request duration before the window, so that no request
+ * runs when it begins, and lasts until the window ends.  A shutdown is not
+ * undone, even if it is requested between the check and the change of state;
+ * hence the second check. */
 static void
 drain_for_window(celeryspoold_t *daemon)
 {
--- a/kernel/members-message.c
+++ b/kernel/members-message.c
@@ -59,8 +59,8 @@
     return message;
 }
 
-/* Tells the recipient first if it is suspected or declared dead, because only
- * it can refute that (Dadgar, Phillips, Currey: Lifeguard). */
+/* Puts the record of a suspected or dead recipient first, because only the
+ * recipient can refute it (Dadgar, Phillips, Currey: Lifeguard). */
 static void
 add_suspicion(member_message_t *message, const member_node_t *node)
 {
@@ -231,8 +231,8 @@
 }
 
 /* Whether a sender gets all records: it is new to this table, or has been for
- * a short time and pings.  Once is not enough: while a whole fleet starts, the
- * first answer can list only a few members. */
+ * a short time and pings.  One full sync is not enough: while a whole fleet
+ * starts, the first one can list only a few members. */
 static bool
 needs_full_sync(members_t *members, const member_message_t *message,
                 bool is_new, int64_t now_ms)
--- a/kernel/members-table.h
+++ b/kernel/members-table.h
@@ -15,7 +15,7 @@
     member_t member;
     int64_t incarnation_received_ms; /* first record of this incarnation */
     unsigned gossip_left; /* messages that will still carry this record */
-    uint64_t probe_order; /* random, position in the current probe cycle */
+    uint64_t probe_order; /* random position in the current probe cycle */
     int verify_count;     /* verification pings sent to this suspect */
 } member_node_t;
 
